--- a/limeway/src/clients/client_connection.rs
+++ b/limeway/src/clients/client_connection.rs
@@ -8,7 +8,7 @@
 use crate::network::stream_io::{read_some, uninterrupted, write_whole};
 use crate::upstream::attempts::Forward;
 use bytes::BytesMut;
-use pondgw::{Demand, Micros};
+use pondgw::{ClientRequest, Micros};
 use std::io::{self, ErrorKind, Read};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -306,7 +306,7 @@
         core: &Rc<Core>,
         table: &ClientTable,
         name: Vec<u8>,
-        (mut demand, forward): (Demand, Forward),
+        (mut demand, forward): (ClientRequest, Forward),
         last: bool,
     ) -> bool {
         // The client counts its time from when it sent the request.
@@ -315,8 +315,8 @@
         if !self.take_in(core.lag.bound()) {
             return self.reject(core, &Reject::CLIENT_LEFT, true).await;
         }
-        demand.left = demand.left.saturating_sub(waited);
-        if demand.left == 0 {
+        demand.time_left = demand.time_left.saturating_sub(waited);
+        if demand.time_left == 0 {
             let close = self.ends(core, table, last);
             return self.reject(core, &Reject::TOO_LATE, close).await;
         }
@@ -391,7 +391,7 @@
     let allow = &core.config.setup.settings.permissions;
     let wait = wait.min(allow.max_retry_after);
     let mut header = Vec::new();
-    if wait > 0 && allow.retry_after {
+    if wait > 0 && allow.send_retry_after {
         header.extend_from_slice(format!("Retry-After: {:.3}\r\n", wait as f64 / 1e6).as_bytes());
     }
     header
--- a/limeway/src/clients/request.rs
+++ b/limeway/src/clients/request.rs
@@ -2,7 +2,7 @@
 
 use crate::network::http::{Framing, Head, HttpError};
 use crate::upstream::attempts::Forward;
-use pondgw::{Demand, Effect, Setup};
+use pondgw::{ClientRequest, HostSettings, Idempotency};
 
 /// Longest wait that a client may state, in milliseconds.
 const DEADLINE_MOST_MS: u64 = 600_000;
@@ -73,7 +73,7 @@
     /// Whether this limiter is ready.
     Health,
     /// A request for the module, under the client's own id.
-    Demand(Vec<u8>, Demand, Forward),
+    Demand(Vec<u8>, ClientRequest, Forward),
 }
 
 fn text(value: Option<&[u8]>) -> Option<&str> {
@@ -81,7 +81,7 @@
 }
 
 /// Checks a request all through; what passes is fit for the module and for servers.
-pub fn read(setup: &Setup, head: &Head, bytes: &[u8], body: Vec<u8>) -> Result<ClientMessage, Reject> {
+pub fn read(setup: &HostSettings, head: &Head, bytes: &[u8], body: Vec<u8>) -> Result<ClientMessage, Reject> {
     let method = &bytes[head.method.clone()];
     let target = text(Some(&bytes[head.target.clone()])).ok_or(Reject::bad("malformed target\n"))?;
     let path = target.split_once('?').map_or(target, |(path, _)| path);
@@ -107,16 +107,16 @@
     if header("req-kind")? != Some(kind.as_bytes()) {
         return Err(Reject::bad("Req-Kind is missing or not the path's class\n"));
     }
-    let effect = setup.settings.classes[class].effect;
-    let wanted: &[u8] = if effect == Effect::Safe { b"GET" } else { b"POST" };
+    let effect = setup.settings.classes[class].idempotency;
+    let wanted: &[u8] = if effect == Idempotency::Idempotent { b"GET" } else { b"POST" };
     if method != wanted {
         return Err(Reject { status: 405, reason: "not the method of this class\n" });
     }
-    if effect == Effect::Safe && head.framing != Framing::Length(0) {
+    if effect == Idempotency::Idempotent && head.framing != Framing::Length(0) {
         return Err(Reject::bad("a body where there is none\n"));
     }
     let key = header("idempotency-key")?;
-    if effect == Effect::Keyed && key.is_none_or(<[u8]>::is_empty) {
+    if effect == Idempotency::Keyed && key.is_none_or(<[u8]>::is_empty) {
         return Err(Reject::bad("Idempotency-Key is missing\n"));
     }
     let id = header("req-id")?.filter(|id| (1..=ID_MOST).contains(&id.len()));
@@ -134,16 +134,16 @@
     forward.extend_from_slice(target.as_bytes());
     forward.extend_from_slice(b" HTTP/1.1\r\n");
     head.copy_headers(bytes, &PASSED_ON, &mut forward);
-    let demand = Demand {
+    let demand = ClientRequest {
         id: 0,
         class,
         plan,
         // Limiters must agree on a customer's name, so one spelling stands for all.
         customer: customer.to_ascii_lowercase(),
-        left: left * 1_000,
+        time_left: left * 1_000,
         units,
-        spread,
-        first,
+        gateways: spread,
+        first_gateway: first,
     };
     Ok(ClientMessage::Demand(id.to_vec(), demand, Forward { head: forward, body }))
 }
@@ -154,7 +154,7 @@
 }
 
 /// Units, spread and the first gateway, each given once and within its bounds.
-fn quota_info(setup: &Setup, info: &str) -> Option<(f64, u32, u32)> {
+fn quota_info(setup: &HostSettings, info: &str) -> Option<(f64, u32, u32)> {
     let (mut units, mut spread, mut first) = (None, None, None);
     for pair in info.split(',') {
         let (name, value) = pair.trim().split_once('=')?;
--- a/limeway/src/config.rs
+++ b/limeway/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery::catalog::List;
 use crate::network::descriptors::SOCKETS_LEAST;
-use pondgw::Setup;
+use pondgw::HostSettings;
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
@@ -102,7 +102,7 @@
     /// The servers as last known.
     pub known: Option<List>,
     /// The settings object.
-    pub setup: Setup,
+    pub setup: HostSettings,
 }
 
 fn address(key: &str, text: Option<&str>) -> Result<SocketAddr, ConfigError> {
@@ -136,10 +136,10 @@
             return Err(ConfigError::new("limits.sockets", format!("is below {SOCKETS_LEAST}")));
         }
         let settings = file.settings.ok_or_else(|| ConfigError::new("settings", "is missing"))?;
-        let setup =
-            Setup::read(&settings).map_err(|e| ConfigError::new(&format!("settings.{}", e.key), e.reason))?;
+        let setup = HostSettings::from_json(&settings)
+            .map_err(|e| ConfigError::new(&format!("settings.{}", e.key), e.reason))?;
         check(&setup)?;
-        let peers = if setup.settings.permissions.peers {
+        let peers = if setup.settings.permissions.peer_messages {
             let listen = address("peer_listen", file.peer_listen.as_deref())?;
             let peers: Result<Vec<_>, _> = file.peers.iter().map(|p| address("peers", Some(p))).collect();
             Some((listen, peers?))
@@ -165,7 +165,7 @@
 }
 
 /// What the adapter may leave open but a limiter cannot work without.
-fn check(setup: &Setup) -> Result<(), ConfigError> {
+fn check(setup: &HostSettings) -> Result<(), ConfigError> {
     let settings = &setup.settings;
     let bad = |key: &str, reason: &str| Err(ConfigError::new(key, reason));
     if settings.classes.is_empty() || setup.classes.iter().any(String::is_empty) {
@@ -174,22 +174,22 @@
     if settings.plans.is_empty() || setup.plans.iter().any(String::is_empty) {
         return bad("settings.plans", "is missing, empty or has a plan without a name");
     }
-    if settings.me >= settings.gateways {
+    if settings.gateway_index >= settings.gateways {
         return bad("settings.me", "is not below settings.balancers");
     }
     if settings.permissions.max_attempts == 0 {
         return bad("settings.permissions.max-attempts", "is missing or nought");
     }
-    if setup.dial_timeout == 0 {
+    if setup.connect_timeout == 0 {
         return bad("settings.permissions.dial-timeout", "is missing or nought");
     }
-    if setup.keepalive == 0 {
+    if setup.server_idle_timeout == 0 {
         return bad("settings.permissions.keepalive", "is missing or nought");
     }
     if settings.max_units <= 0.0 {
         return bad("settings.family-info.max-units", "is missing or nought");
     }
-    if settings.counter.as_ref().is_some_and(|c| c.limit == 0) {
+    if settings.counter.as_ref().is_some_and(|c| c.call_timeout == 0) {
         return bad("settings.family-info.count-limit", "is missing or nought");
     }
     Ok(())
--- a/limeway/src/core.rs
+++ b/limeway/src/core.rs
@@ -164,7 +164,7 @@
         sink: EventSink,
     ) -> Self {
         let (clock, log_limiter) = (Rc::new(Clock::new()), Rc::new(LogLimiter::default()));
-        let limit = config.setup.settings.counter.as_ref().map_or(0, |counter| counter.limit);
+        let limit = config.setup.settings.counter.as_ref().map_or(0, |counter| counter.call_timeout);
         let counter = config
             .places
             .counter
@@ -215,7 +215,7 @@
         if !self.draining.get() || passed < ENDING.0 {
             return left;
         }
-        let most = self.config.setup.longest.min(ENDING.1) + ENDING.0;
+        let most = self.config.setup.max_deadline.min(ENDING.1) + ENDING.0;
         left.min(most.saturating_sub(passed + ENDING_LEFT).max(ENDING_LEFT))
     }
 
@@ -243,7 +243,7 @@
             NetworkEvent::Counted { name, status, total, latency } => {
                 self.feed(Event::Counted { name, status, total, latency })
             }
-            NetworkEvent::PeerMessage { from, data } => self.feed(Event::Peer { from, data }),
+            NetworkEvent::PeerMessage { from, data } => self.feed(Event::PeerMessage { from, data }),
         }
     }
 
@@ -282,7 +282,7 @@
                     state.events.push_back(Event::Counted { name, status, total: 0.0, latency: 0 });
                 }
             },
-            Action::Tell { peer, data } => {
+            Action::SendToPeer { peer, data } => {
                 if let Some(peers) = &self.peers {
                     peers.tell(peer, &data);
                 }
@@ -302,10 +302,10 @@
                 id,
                 attempt: number as u32,
                 server,
-                status: Status::Moot,
+                status: Status::NotSent,
                 latency: 0,
-                closed,
-                load: Load::default(),
+                request_done: closed,
+                load: LoadReport::default(),
             })
         };
         let Some(open) = state.open.get_mut(&id) else {
@@ -314,7 +314,7 @@
         };
         let number = open.attempts.len();
         let over = open.reply.is_none() || now >= open.deadline;
-        let copies = !allow.second_copies && open.attempts.iter().any(|a| a.out);
+        let copies = !allow.parallel_attempts && open.attempts.iter().any(|a| a.out);
         if over || copies || number >= allow.max_attempts as usize {
             let closed = open.reply.is_none();
             open.attempts.push(Attempt { server, sent: now, stop: None, wanted: Rc::default(), out: false });
@@ -343,7 +343,7 @@
     pub fn request(
         self: &Rc<Self>,
         name: &[u8],
-        mut demand: Demand,
+        mut demand: ClientRequest,
         forward: Forward,
     ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
         let (reply, answer) = oneshot::channel();
@@ -357,8 +357,8 @@
         // Numbered here and not by the client's own id, which nobody can vouch for being new.
         state.last_id += 1;
         demand.id = state.last_id;
-        demand.left = self.time_left(demand.left);
-        let deadline = self.clock.now() + demand.left;
+        demand.time_left = self.time_left(demand.time_left);
+        let deadline = self.clock.now() + demand.time_left;
         let open =
             Open { name, reply: Some(reply), forward: Rc::new(forward), deadline, attempts: Vec::new() };
         state.open.insert(demand.id, open);
@@ -376,7 +376,7 @@
         let never_sent = state.open.get(&id).is_some_and(|open| open.attempts.is_empty());
         if state.take_reply(id).is_some() {
             state.reap(id);
-            state.events.push_back(Event::Gone { id });
+            state.events.push_back(Event::ClientGone { id });
             self.run(&mut state);
         }
         if never_sent {
@@ -405,7 +405,7 @@
         }
         let closed = state.open.get(&id).is_none_or(|o| o.reply.is_none());
         state.reap(id);
-        let outcome = Outcome { id, attempt: number, server, status, latency, closed, load };
+        let outcome = Outcome { id, attempt: number, server, status, latency, request_done: closed, load };
         state.events.push_back(Event::Outcome(outcome));
         self.run(state);
     }
@@ -487,7 +487,7 @@
         }
         self.log_limiter.warn(format_args!("request {id} ends at its deadline without the module's answer"));
         state.answer(id, Answer::Overdue);
-        state.events.push_back(Event::Gone { id });
+        state.events.push_back(Event::ClientGone { id });
         self.run(state);
     }
 }
--- a/limeway/src/counter.rs
+++ b/limeway/src/counter.rs
@@ -97,7 +97,7 @@
         let open = self.open.borrow().clone();
         // Nothing was added where no connection may be opened.
         let held = self.descriptors.try_hold(Owner::Counter).filter(|_| open.get() < CONNECTIONS_MOST);
-        let (held, _open) = (held.ok_or(Status::Full)?, Held::new(&open));
+        let (held, _open) = (held.ok_or(Status::Declined)?, Held::new(&open));
         let conn = Conn::open(self.address.get(), held).await.map_err(|_| Status::ConnectFailed)?;
         Ok(CounterConnection { conn, _open })
     }
@@ -134,7 +134,7 @@
                 Some(total) if total.is_finite() => (Status::Ok, total),
                 _ => (Status::Error, 0.0),
             },
-            400 | 404 | 503 => (Status::Full, 0.0),
+            400 | 404 | 503 => (Status::Declined, 0.0),
             _ => (Status::Error, 0.0),
         };
         // A connection that has brought what makes no sense is of no further use.
--- a/limeway/src/discovery/follower.rs
+++ b/limeway/src/discovery/follower.rs
@@ -10,7 +10,7 @@
 use crate::network::connection::{Broken, Conn, Reply};
 use crate::network::descriptors::{self, Owner};
 use crate::network::http;
-use pondgw::{Event, ListKind, Setup};
+use pondgw::{Event, HostSettings, ListKind};
 use std::cell::Cell;
 use std::collections::VecDeque;
 use std::io;
@@ -92,7 +92,7 @@
 
 impl<'a> Follower<'a> {
     fn new(core: &'a Rc<Core>, moved: bool) -> Self {
-        let ask = core.config.setup.settings.ask;
+        let ask = core.config.setup.settings.watch_discovery;
         // What was known at the start is what the module holds: changes since then are enough, and cost discovery
         // less than the whole list. They are asked for without a wait, as the limiter is not ready before.
         let known = core.config.known.as_ref().filter(|list| !moved && list.whole && list.spoilt == 0);
@@ -220,10 +220,10 @@
 }
 
 /// Time after which an answer is late, of a watch with its wait or of a call without one.
-fn late_after(setup: &Setup, hold_ms: Option<u64>) -> Duration {
+fn late_after(setup: &HostSettings, hold_ms: Option<u64>) -> Duration {
     let grace = Duration::from_micros(setup.drain_grace) / GRACE_PART;
     // Where discovery must be asked, calls of all limiters wait in one line there.
-    if setup.settings.ask || hold_ms == Some(HOLD_MS) || grace.is_zero() {
+    if setup.settings.watch_discovery || hold_ms == Some(HOLD_MS) || grace.is_zero() {
         return Duration::from_millis(hold_ms.unwrap_or_default()) + LATE;
     }
     grace.min(LATE)
--- a/limeway/src/network/network_event.rs
+++ b/limeway/src/network/network_event.rs
@@ -1,6 +1,6 @@
 //! What the parts that talk to the network report: commands go down to them as calls, events come up through a sink.
 
-use pondgw::{Load, Micros, RequestId, Status};
+use pondgw::{LoadReport, Micros, RequestId, Status};
 use std::rc::Rc;
 
 /// Something that has happened on the network.
@@ -53,11 +53,11 @@
     /// The answer that goes to the client.
     pub served: Option<Served>,
     /// What the server said of its load.
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 impl From<Status> for End {
     fn from(status: Status) -> Self {
-        End { status, served: None, load: Load::default() }
+        End { status, served: None, load: LoadReport::default() }
     }
 }
--- a/limeway/src/upstream/attempts.rs
+++ b/limeway/src/upstream/attempts.rs
@@ -6,7 +6,7 @@
 use crate::network::http;
 use crate::network::network_event::{End, EventSink, NetworkEvent, Served};
 use crate::upstream::servers::{Pools, Taken};
-use pondgw::{Load, Micros, RequestId, ServerId, Status};
+use pondgw::{LoadReport, Micros, RequestId, ServerId, Status};
 use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
@@ -66,7 +66,7 @@
                 end = this.attempt(&start, &written) => end,
                 // Stopped before its last byte was handed over, it cannot have run.
                 status = stopped => {
-                    if written.get() { status.unwrap_or(Status::Cancelled) } else { Status::Moot }.into()
+                    if written.get() { status.unwrap_or(Status::Cancelled) } else { Status::NotSent }.into()
                 }
             };
             (this.sink)(NetworkEvent::AttemptEnded { id: start.id, number: start.number, end });
@@ -94,7 +94,7 @@
                     }
                     Ok(Err(e)) if is_own_limit(&e) => {
                         self.log_limiter.warn(format_args!("no connection to server {}: {e}", start.server));
-                        return Status::Moot.into();
+                        return Status::NotSent.into();
                     }
                     Ok(Err(e)) => {
                         log::debug!("server {} at {address} takes no connection: {e}", start.server);
@@ -107,16 +107,16 @@
                 }
             }
             // No address, or all connections that this process may hold are busy.
-            None => return Status::Moot.into(),
+            None => return Status::NotSent.into(),
         };
         // While the connection came up the client may have left, the attempt may have been told to end, and the
         // server may have been drained or replaced: nothing is sent on then, and what is sound is kept for others.
         if !start.wanted.get() {
             pools.give_back(start.server, conn);
-            return Status::Moot.into();
+            return Status::NotSent.into();
         }
         if !pools.serves(start.server, conn.to) {
-            return Status::Moot.into();
+            return Status::NotSent.into();
         }
         // What is left now: the connection may have taken long to come up.
         let message = message(&start.forward, start.until.saturating_sub(self.clock.now()));
@@ -145,7 +145,7 @@
         let declined = head.header(&bytes, "srv-declined") == Some(b"1");
         let status = match head.status {
             200 => Status::Ok,
-            503 | 504 if declined => Status::Full,
+            503 | 504 if declined => Status::Declined,
             _ => Status::Error,
         };
         if keep {
@@ -162,12 +162,12 @@
 }
 
 /// Reads a load report. Pairs that cannot be read are passed over: the answer itself is good.
-fn load(text: &[u8]) -> Load {
-    let mut load = Load::default();
+fn load(text: &[u8]) -> LoadReport {
+    let mut load = LoadReport::default();
     for pair in std::str::from_utf8(text).unwrap_or_default().split(',') {
         if let Some((name, value)) = pair.split_once('=') {
             if let Ok(value) = value.trim().parse() {
-                load.set(name.trim(), value);
+                load.set_metric(name.trim(), value);
             }
         }
     }
--- a/limeway/src/upstream/servers.rs
+++ b/limeway/src/upstream/servers.rs
@@ -4,7 +4,7 @@
 use crate::network::connection::{Conn, IdleState};
 use crate::network::descriptors::{Descriptors, Held, Owner};
 use crate::upstream::zones::Zones;
-use pondgw::{Entry, Lifecycle, ListKind, ServerId, Setup};
+use pondgw::{HostSettings, Lifecycle, ListKind, ServerEntry, ServerId};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -57,21 +57,21 @@
 
 impl Pools {
     /// Empty pools.
-    pub fn new(setup: &Setup, descriptors: Rc<Descriptors>) -> Self {
+    pub fn new(setup: &HostSettings, descriptors: Rc<Descriptors>) -> Self {
         Pools {
             hosts: RefCell::default(),
             numbers: RefCell::default(),
             free: RefCell::default(),
             zones: RefCell::new(Zones::new(&setup.zones)),
             descriptors,
-            keep: Duration::from_micros(setup.keepalive) / IDLE_PART,
-            dial_timeout: Duration::from_micros(setup.dial_timeout),
+            keep: Duration::from_micros(setup.server_idle_timeout) / IDLE_PART,
+            dial_timeout: Duration::from_micros(setup.connect_timeout),
         }
     }
 
     /// Takes in a list of servers and turns it into what the module reads. A server is known by its host, as
     /// its address may change; connections to an old address or to one that leaves are let go.
-    pub fn learn(&self, kind: ListKind, list: &List) -> Vec<Entry> {
+    pub fn learn(&self, kind: ListKind, list: &List) -> Vec<ServerEntry> {
         let (mut hosts, mut numbers) = (self.hosts.borrow_mut(), self.numbers.borrow_mut());
         let mut zones = self.zones.borrow_mut();
         // Guards against growing with every new id. The module was told with an earlier list that these are gone,
@@ -126,11 +126,18 @@
             let state = match row.health {
                 Health::Serving => Lifecycle::Ready,
                 Health::Draining => Lifecycle::Draining,
-                Health::Deleted => Lifecycle::Gone,
+                Health::Deleted => Lifecycle::Removed,
             };
             log::info!("server {server} is {} at {}: {:?}", row.host, row.dial, row.health);
             let started = row.born_ms * 1_000;
-            entries.push(Entry { server, zone, cell: row.block, state, weight: row.share, started });
+            entries.push(ServerEntry {
+                server,
+                zone,
+                cell: row.block,
+                lifecycle: state,
+                weight: row.share,
+                started_at: started,
+            });
         }
         for (host, _) in hosts.iter_mut().zip(listed).filter(|(_, listed)| !listed) {
             (host.ready, host.gone) = (false, true);
--- a/limeway/tests/unit/follower.rs
+++ b/limeway/tests/unit/follower.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-fn setup(ask: bool, grace_us: u64) -> Setup {
+fn setup(ask: bool, grace_us: u64) -> HostSettings {
     let mode = if ask { "ask" } else { "push" };
     let text = format!(r#"{{"discovery":"{mode}","rules":{{"drain-grace":{grace_us}}}}}"#);
-    Setup::read(&serde_json::from_str(&text).expect("an object")).expect("settings")
+    HostSettings::from_json(&serde_json::from_str(&text).expect("an object")).expect("settings")
 }
 
 /// Guards both ways: a silent call must be followed by one that is answered before what the first one missed counts
--- a/scale/src/hollow/network.rs
+++ b/scale/src/hollow/network.rs
@@ -69,22 +69,22 @@
         let (status, done) = if !state.up || apart {
             (Status::ConnectFailed, now + DIAL)
         } else if state.free > begun + QUEUE {
-            (Status::Full, begun + way)
+            (Status::Declined, begun + way)
         } else {
             state.free = state.free.max(begun) + (S as f64 / capacity) as Micros;
             (Status::Ok, state.free + way)
         };
         state.got = state.got * (-((now.saturating_sub(state.got_at)) as f64 / S as f64)).exp() + 1.0;
         state.got_at = now;
-        let load = Load {
+        let load = LoadReport {
             inflight: Some((state.free.saturating_sub(begun) as f64 * capacity / S as f64).ceil()),
             util: Some((state.got / capacity).min(1.0)),
             qps: Some(state.got.min(capacity)),
-            latency_ms: None,
+            service_time_ms: None,
         };
-        let load = if status == Status::ConnectFailed { Load::default() } else { load };
+        let load = if status == Status::ConnectFailed { LoadReport::default() } else { load };
         let (latency, closed) = (done - self.now, status == Status::Ok);
-        let outcome = Outcome { id, attempt, server, status, latency, closed, load };
+        let outcome = Outcome { id, attempt, server, status, latency, request_done: closed, load };
         let life = self.limiters[n].life;
         self.events.push(done, life, Pending::Outcome(n, outcome));
     }
--- a/scale/src/hollow/world.rs
+++ b/scale/src/hollow/world.rs
@@ -98,16 +98,16 @@
     }
 
     /// The whole list of servers.
-    pub(super) fn entries(&self) -> Vec<Entry> {
+    pub(super) fn entries(&self) -> Vec<ServerEntry> {
         (0..self.servers.len()).map(|n| self.entry(n)).collect()
     }
 
     /// One row of it.
-    pub(super) fn entry(&self, n: usize) -> Entry {
+    pub(super) fn entry(&self, n: usize) -> ServerEntry {
         let Server { started, draining, .. } = self.servers[n];
         let state = if draining { Lifecycle::Draining } else { Lifecycle::Ready };
         let (zone, cell) = (self.day.deployment.zone_of(n), (n % 16) as u64);
-        Entry { server: n, zone, cell, state, weight: 1.0, started }
+        ServerEntry { server: n, zone, cell, lifecycle: state, weight: 1.0, started_at: started }
     }
 
     /// Gives a limiter an event and does what its module asks for.
@@ -129,14 +129,14 @@
                 Action::Timer { at, .. } => self.events.push(at.max(self.now), life, Pending::Timer(n)),
                 Action::Count { name, amount, .. } => self.count(n, name, amount),
                 Action::Watch => self.ask(n),
-                Action::Cancel { .. } | Action::Tell { .. } => {}
+                Action::Cancel { .. } | Action::SendToPeer { .. } => {}
             }
         }
     }
 
     /// Starts a limiter, with the list as it is.
     pub(super) fn start(&mut self, n: usize) {
-        let setup = Setup::read(&self.day.deployment.settings(n as u32));
+        let setup = HostSettings::from_json(&self.day.deployment.settings(n as u32));
         let settings = setup.expect("the deployment's own settings are sound").settings;
         let seed = self.random.random();
         let gateway = Gateway::new(settings, seed, self.now);
@@ -187,13 +187,22 @@
         let second = self.second_now();
         self.limiters[n].open.insert(id, (0, second));
         let (customer, left) = (format!("{tenant:016x}"), DEADLINE_MS * MS);
-        let demand = Demand { id, class: 0, plan: 0, customer, left, units: 1.0, spread, first };
+        let demand = ClientRequest {
+            id,
+            class: 0,
+            plan: 0,
+            customer,
+            time_left: left,
+            units: 1.0,
+            gateways: spread,
+            first_gateway: first,
+        };
         self.give(n, Event::Request(demand));
     }
 
     /// Tells the limiters of these servers that discovery has answered.
     pub(super) fn tell_all(&mut self, servers: &[usize]) {
-        let entries: Vec<Entry> = servers.iter().map(|n| self.entry(*n)).collect();
+        let entries: Vec<ServerEntry> = servers.iter().map(|n| self.entry(*n)).collect();
         for n in 0..self.limiters.len() {
             if self.limiters[n].up && self.limiters[n].watching {
                 self.give(n, Event::Servers { kind: ListKind::Delta, entries: entries.clone() });
@@ -208,7 +217,7 @@
             Pending::Arrival => self.arrive(),
             Pending::Timer(n) if alive(n, self) => self.give(n, Event::Timer { token: 0 }),
             Pending::Outcome(n, outcome) if alive(n, self) => {
-                if outcome.closed {
+                if outcome.request_done {
                     if let Some((_, second)) = self.limiters[n].open.remove(&outcome.id) {
                         self.seconds[second].served += 1;
                     }
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -79,23 +79,23 @@
     Ok(match word {
         "OK" => Status::Ok,
         "INTERNAL" => Status::Error,
-        "RESOURCE_EXHAUSTED" => Status::Full,
+        "RESOURCE_EXHAUSTED" => Status::Declined,
         "DEADLINE_EXCEEDED" => Status::Timeout,
         "UNAVAILABLE" => Status::ConnectFailed,
         "ABORTED" => Status::Reset,
         "CANCELLED" => Status::Cancelled,
-        "TOO_LATE" => Status::Moot,
+        "TOO_LATE" => Status::NotSent,
         _ => return Err(format!("unknown outcome: {word}")),
     })
 }
 
-fn load(word: &str) -> Parsed<Load> {
-    let mut load = Load::default();
+fn load(word: &str) -> Parsed<LoadReport> {
+    let mut load = LoadReport::default();
     for pair in word.split(',').filter(|p| !p.is_empty() && *p != "-") {
         let (name, value) =
             pair.split_once(':').ok_or_else(|| format!("load report is not valid: {pair}"))?;
         let value: f64 = value.parse().map_err(|_| format!("load report is not valid: {pair}"))?;
-        load.set(name, value);
+        load.set_metric(name, value);
     }
     Ok(load)
 }
@@ -142,27 +142,27 @@
                     let number = w.value("ref")?;
                     let list = lists.get(&number).ok_or_else(|| format!("no list {number}"))?.clone();
                     for row in list.iter() {
-                        entries.push(Entry {
+                        entries.push(ServerEntry {
                             server: self.server(&row.server),
                             zone: self.zone(&row.zone),
                             cell: row.cell,
-                            state: row.state,
+                            lifecycle: row.state,
                             weight: row.weight,
-                            started: row.started,
+                            started_at: row.started,
                         });
                     }
                 }
                 Event::Servers { kind, entries }
             }
-            "DEMAND" => Event::Request(Demand {
+            "DEMAND" => Event::Request(ClientRequest {
                 id: w.value("call")?,
                 class: find(&self.classes, w.word("priority")?, "class")?,
                 plan: find(&self.plans, w.word("contract")?, "plan")?,
                 customer: w.word("member")?.to_owned(),
-                left: w.value("budget")?,
+                time_left: w.value("budget")?,
                 units: w.number("units")?,
-                spread: w.value_or("doors", 1)?,
-                first: w.value_or("set-from", 0)?,
+                gateways: w.value_or("doors", 1)?,
+                first_gateway: w.value_or("set-from", 0)?,
             }),
             "BELL" => Event::Timer { token: w.value("tag")? },
             "DONE" => {
@@ -175,10 +175,18 @@
                 let closed = w.word("last")? == "1";
                 w.word("usage")?;
                 w.word("billed")?;
-                Event::Outcome(Outcome { id, attempt, server, status, latency, closed, load: load(w.0)? })
+                Event::Outcome(Outcome {
+                    id,
+                    attempt,
+                    server,
+                    status,
+                    latency,
+                    request_done: closed,
+                    load: load(w.0)?,
+                })
             }
-            "STARTED" => Event::Started { id: w.value("call")?, attempt: w.value("attempt")? },
-            "VANISHED" => Event::Gone { id: w.value("call")? },
+            "STARTED" => Event::StreamStarted { id: w.value("call")?, attempt: w.value("attempt")? },
+            "VANISHED" => Event::ClientGone { id: w.value("call")? },
             "SUM" => Event::Counted {
                 name: w.value("tally-id")?,
                 status: status(w.word("reason")?)?,
@@ -201,7 +209,7 @@
                         BASE64_STANDARD.decode(text).map_err(|e| format!("payload is not base64: {e}"))?
                     }
                 };
-                Event::Peer { from, data }
+                Event::PeerMessage { from, data }
             }
             other => return Err(format!("unknown message: {other}")),
         }))
@@ -217,7 +225,7 @@
             Action::Fail { id } => writeln!(to, "DROP_REQUEST {name} {id}"),
             Action::Timer { at, token } => writeln!(to, "WAKE_AT {name} {at} {token}"),
             Action::Count { name: count, amount, ttl } => writeln!(to, "BUMP {name} {count} {amount} {ttl}"),
-            Action::Tell { peer, ref data } => {
+            Action::SendToPeer { peer, ref data } => {
                 writeln!(to, "SIGNAL {name} {peer} {}", BASE64_STANDARD.encode(data))
             }
             Action::Watch => writeln!(to, "TRACK {name} 1"),
@@ -277,7 +285,7 @@
                 let seed = w.value("init-seed")?;
                 let json: Value =
                     serde_json::from_str(w.0).map_err(|e| format!("setup is not valid: {e}"))?;
-                let setup = Setup::read(&json).map_err(|e| e.reason)?;
+                let setup = HostSettings::from_json(&json).map_err(|e| e.reason)?;
                 let instance = Instance {
                     gateway: Gateway::new(setup.settings, seed, self.now),
                     classes: setup.classes,
@@ -310,7 +318,7 @@
     w.word("generation-hw")?;
     let cell = w.value_or("bay", 0)?;
     let state = match w.word("lifecycle")? {
-        "0" => Lifecycle::Gone,
+        "0" => Lifecycle::Removed,
         "1" => Lifecycle::Ready,
         "2" => Lifecycle::Draining,
         other => return Err(format!("unknown lifecycle: {other}")),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -14,18 +14,18 @@
 
 /// Whether a repeat of a request does harm.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May be repeated at will.
-    Safe,
+    Idempotent,
     /// Carries a key; servers of one scope drop repeats for a while.
     Keyed,
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Which servers share the knowledge of keys seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scope {
+pub enum KeyScope {
     /// All servers.
     All,
     /// Servers of one zone.
@@ -40,13 +40,13 @@
     /// Service-level objective: an answer within this time earns full worth.
     pub slo: Micros,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Who drops repeats of a keyed request.
-    pub scope: Scope,
+    pub key_scope: KeyScope,
     /// How long repeats of a keyed request are dropped, from its first send that may have run.
-    pub window: Micros,
+    pub dedup_window: Micros,
     /// Worth of one request.
-    pub worth: f64,
+    pub value: f64,
 }
 
 /// A plan: the quota of each of its customers, over all gateways together.
@@ -57,9 +57,9 @@
     /// Units that may be used at once.
     pub burst: f64,
     /// Requests open at once; 0 for no such quota.
-    pub open: f64,
+    pub max_concurrent: f64,
     /// Factor on worth.
-    pub price: f64,
+    pub value_factor: f64,
     /// Hard ceiling in units per second; 0 for none.
     pub ceiling_rate: f64,
     /// Units the hard ceiling lets through at once.
@@ -72,39 +72,39 @@
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub parallel_attempts: bool,
     /// Attempts for one request at most.
     pub max_attempts: u32,
     /// Longest retry advice that clients obey.
     pub max_retry_after: Micros,
     /// Clients are told when to come back.
-    pub retry_after: bool,
+    pub send_retry_after: bool,
     /// Gateways may send each other messages.
-    pub peers: bool,
+    pub peer_messages: bool,
     /// A connection that an attempt needs may take so long to come up.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
 }
 
 /// The counter service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CounterSettings {
     /// A call with no answer after this time is lost.
-    pub limit: Micros,
+    pub call_timeout: Micros,
 }
 
 /// Figures of the rules that the gateway must keep.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Rules {
+pub struct ServerRules {
     /// A cold server is warm after this time at the latest.
-    pub cold: Micros,
+    pub slow_start_duration: Micros,
     /// Share of its capacity that a server starts with, at least.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// A cold server falls when overfed for this long.
-    pub fall: Micros,
+    pub overload_duration: Micros,
     /// Multiple of present capacity that makes a cold server fall.
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// Where discovery must be asked: the longest time between asking.
-    pub ask_within: Micros,
+    pub max_watch_interval: Micros,
 }
 
 /// All that a gateway is told at start.
@@ -113,13 +113,13 @@
     /// Gateways in service.
     pub gateways: u32,
     /// Number of this gateway among them, from 0.
-    pub me: u32,
+    pub gateway_index: u32,
     /// Zone this gateway stands in.
     pub zone: usize,
     /// Least time between two events.
-    pub round: Micros,
+    pub tick: Micros,
     /// Discovery has to be asked for changes.
-    pub ask: bool,
+    pub watch_discovery: bool,
     /// Classes of requests, by index.
     pub classes: Vec<Class>,
     /// Plans, by index.
@@ -131,7 +131,7 @@
     /// The counter, where there is one.
     pub counter: Option<CounterSettings>,
     /// Figures of the rules.
-    pub rules: Rules,
+    pub server_rules: ServerRules,
 }
 
 /// What discovery says of a server.
@@ -142,12 +142,12 @@
     /// Finishing its work.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One server as discovery lists it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Entry {
+pub struct ServerEntry {
     /// Which server.
     pub server: ServerId,
     /// Its zone.
@@ -155,11 +155,11 @@
     /// Its cell.
     pub cell: u64,
     /// Its state.
-    pub state: Lifecycle,
+    pub lifecycle: Lifecycle,
     /// Relative size, 1 where unknown.
     pub weight: f64,
     /// Its latest start; 0 for long past.
-    pub started: Micros,
+    pub started_at: Micros,
 }
 
 /// How a list of servers is to be read.
@@ -183,7 +183,7 @@
     /// The server answered with an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Declined,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection; it did not run.
@@ -193,31 +193,31 @@
     /// Withdrawn; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 /// Load report of a server; what it does not tell is absent.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests it holds.
     pub inflight: Option<f64>,
     /// Share of its processors in use.
     pub util: Option<f64>,
     /// Its recent service time in milliseconds.
-    pub latency_ms: Option<f64>,
+    pub service_time_ms: Option<f64>,
     /// Requests that it serves in a second.
     pub qps: Option<f64>,
 }
 
-impl Load {
+impl LoadReport {
     /// Takes one value by its name on the wire. Names that are not known are passed over, and so is what no
     /// server can mean.
-    pub fn set(&mut self, name: &str, value: f64) {
+    pub fn set_metric(&mut self, name: &str, value: f64) {
         let value = (value.is_finite() && value >= 0.0).then_some(value);
         match name {
             "busy_reqs" => self.inflight = value,
             "cpu_share" => self.util = value,
-            "svc_ms" => self.latency_ms = value,
+            "svc_ms" => self.service_time_ms = value,
             "served_ps" => self.qps = value,
             _ => {}
         }
@@ -226,7 +226,7 @@
 
 /// A client's request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Demand {
+pub struct ClientRequest {
     /// Its identifier.
     pub id: RequestId,
     /// Index of its class.
@@ -236,13 +236,13 @@
     /// Its customer.
     pub customer: String,
     /// Time until the client gives up.
-    pub left: Micros,
+    pub time_left: Micros,
     /// Units it counts.
     pub units: f64,
     /// Gateways through which the customer's requests may come.
-    pub spread: u32,
+    pub gateways: u32,
     /// Number of the first of them; the others follow it, counted round.
-    pub first: u32,
+    pub first_gateway: u32,
 }
 
 /// How an attempt ended.
@@ -259,9 +259,9 @@
     /// Time since it was sent.
     pub latency: Micros,
     /// The request has its final answer.
-    pub closed: bool,
+    pub request_done: bool,
     /// The server's load report.
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 /// What happens to a gateway.
@@ -272,10 +272,10 @@
         /// How to read the entries.
         kind: ListKind,
         /// The entries.
-        entries: Vec<Entry>,
+        entries: Vec<ServerEntry>,
     },
     /// A client's request: it is owed exactly one final answer.
-    Request(Demand),
+    Request(ClientRequest),
     /// A timer is due.
     Timer {
         /// The token it was set with.
@@ -284,14 +284,14 @@
     /// An attempt ended.
     Outcome(Outcome),
     /// A streamed answer has begun: the attempt is the client's now.
-    Started {
+    StreamStarted {
         /// The request.
         id: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
     /// The client has left; nothing more is owed.
-    Gone {
+    ClientGone {
         /// The request.
         id: RequestId,
     },
@@ -314,7 +314,7 @@
         status: Status,
     },
     /// A message from another gateway.
-    Peer {
+    PeerMessage {
         /// Its number.
         from: u32,
         /// What it says.
@@ -370,7 +370,7 @@
         ttl: Micros,
     },
     /// Send a message to another gateway; it may be lost.
-    Tell {
+    SendToPeer {
         /// Its number.
         peer: u32,
         /// What to say.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,25 +10,65 @@
 //! use pondgw::*;
 //!
 //! let settings = Settings {
-//!     gateways: 1, me: 0, zone: 0, round: 1_000, ask: false, max_units: 1.0,
-//!     classes: vec![Class { slo: 500_000, effect: Effect::Safe, scope: Scope::All, window: 0, worth: 1.0 }],
+//!     gateways: 1,
+//!     gateway_index: 0,
+//!     zone: 0,
+//!     tick: 1_000,
+//!     watch_discovery: false,
+//!     max_units: 1.0,
+//!     classes: vec![Class {
+//!         slo: 500_000,
+//!         idempotency: Idempotency::Idempotent,
+//!         key_scope: KeyScope::All,
+//!         dedup_window: 0,
+//!         value: 1.0,
+//!     }],
 //!     plans: vec![Plan {
-//!         rate: 2.0, burst: 4.0, open: 0.0, price: 1.0, ceiling_rate: 0.0, ceiling_burst: 0.0,
+//!         rate: 2.0,
+//!         burst: 4.0,
+//!         max_concurrent: 0.0,
+//!         value_factor: 1.0,
+//!         ceiling_rate: 0.0,
+//!         ceiling_burst: 0.0,
 //!     }],
 //!     permissions: Permissions {
-//!         cancel: true, second_copies: true, max_attempts: 3, max_retry_after: 1_000_000, retry_after: true,
-//!         peers: false,
-//!         connect: 0,
+//!         cancel: true,
+//!         parallel_attempts: true,
+//!         max_attempts: 3,
+//!         max_retry_after: 1_000_000,
+//!         send_retry_after: true,
+//!         peer_messages: false,
+//!         connect_timeout: 0,
+//!     },
+//!     counter: Some(CounterSettings { call_timeout: 50_000 }),
+//!     server_rules: ServerRules {
+//!         slow_start_duration: 10_000_000,
+//!         initial_capacity: 0.3,
+//!         overload_duration: 1_000_000,
+//!         overload_factor: 3.0,
+//!         max_watch_interval: 0,
 //!     },
-//!     counter: Some(CounterSettings { limit: 50_000 }),
-//!     rules: Rules { cold: 10_000_000, cold_from: 0.3, fall: 1_000_000, fall_multiple: 3.0, ask_within: 0 },
 //! };
 //! let mut gateway = Gateway::new(settings, 7, 0);
 //! let mut actions = Vec::new();
-//! let entry = Entry { server: 0, zone: 0, cell: 0, state: Lifecycle::Ready, weight: 1.0, started: 0 };
+//! let entry = ServerEntry {
+//!     server: 0,
+//!     zone: 0,
+//!     cell: 0,
+//!     lifecycle: Lifecycle::Ready,
+//!     weight: 1.0,
+//!     started_at: 0,
+//! };
 //! gateway.handle(0, Event::Servers { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
-//! let request = Event::Request(Demand {
-//!     id: 1, class: 0, plan: 0, customer: "choir".into(), left: 2_000_000, units: 1.0, spread: 1, first: 0,
+//! let request = Event::Request(ClientRequest {
+//!     id: 1,
+//!     class: 0,
+//!     plan: 0,
+//!     customer: "choir".into(),
+//!     time_left: 2_000_000,
+//!     units: 1.0,
+//!     gateways: 1,
+//!     first_gateway: 0,
 //! });
 //! gateway.handle(1_000, request, &mut actions);
 //! // The first request leases a unit from the customer's window count ...
@@ -49,4 +89,4 @@
 
 pub use interface::*;
 pub use rules::Gateway;
-pub use setup::{Setup, SetupError};
+pub use setup::{HostSettings, SettingsError};
--- a/src/reports.rs
+++ b/src/reports.rs
@@ -1,7 +1,7 @@
 //! What servers report of their load, as one gateway of many hears it: now and then, late, and noisy.
 //! Decides what a server is believed to hold and how much slower than its fellows it works.
 
-use crate::interface::{Load, Micros, SECOND};
+use crate::interface::{LoadReport, Micros, SECOND};
 
 /// Weight of a new report in the means over all servers: some ten answers make them up.
 const LEARN: f64 = 0.1;
@@ -50,7 +50,7 @@
     }
 
     /// Takes a report of one of the servers.
-    pub fn take(&mut self, server: &mut Reports, load: &Load, now: Micros) {
+    pub fn take(&mut self, server: &mut Reports, load: &LoadReport, now: Micros) {
         let Some(held) = load.inflight else { return };
         let learn = if self.at.is_some() { LEARN } else { 1.0 };
         self.at = Some(now);
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -127,17 +127,17 @@
             Event::Request(demand) => self.on_request(demand, out),
             Event::Timer { .. } => self.sweep(out),
             Event::Outcome(outcome) => self.on_outcome(&outcome, out),
-            Event::Started { id, attempt } => self.on_started(id, attempt, out),
-            Event::Gone { id } => self.close(id, out),
+            Event::StreamStarted { id, attempt } => self.on_started(id, attempt, out),
+            Event::ClientGone { id } => self.close(id, out),
             Event::Counted { name, status, total, latency } => {
                 self.on_counted(name, status, total, latency, out)
             }
-            Event::Peer { from, data } => self.on_peer(from, &data, out),
+            Event::PeerMessage { from, data } => self.on_peer(from, &data, out),
             Event::Probed { .. } => {}
         }
         self.dispatch(out);
         if self.sweep_at <= now && !(self.requests.is_empty() && self.customers.is_empty()) {
-            self.sweep_at = now + SWEEP.max(self.set.round);
+            self.sweep_at = now + SWEEP.max(self.set.tick);
             out.push(Action::Timer { at: self.sweep_at, token: 0 });
         }
     }
@@ -182,9 +182,18 @@
     }
 
     /// A request has come: it waits for units of its customer's quota.
-    fn on_request(&mut self, demand: Demand, out: &mut Vec<Action>) {
-        let Demand { id, class, plan, customer, left, units, spread, first } = demand;
-        let (key, me) = (stable_hash(customer.as_bytes(), plan as u64), self.set.me);
+    fn on_request(&mut self, demand: ClientRequest, out: &mut Vec<Action>) {
+        let ClientRequest {
+            id,
+            class,
+            plan,
+            customer,
+            time_left: left,
+            units,
+            gateways: spread,
+            first_gateway: first,
+        } = demand;
+        let (key, me) = (stable_hash(customer.as_bytes(), plan as u64), self.set.gateway_index);
         let owner = (u64::from(first) + key % u64::from(spread.max(1))) % u64::from(self.set.gateways.max(1));
         let known = self.know(key, plan, spread);
         known.lease_owner = (known.pooled && owner as u32 != me).then_some(owner as u32);
@@ -193,7 +202,7 @@
         known.waiting.push_back(Waiting { id, peer: None, units, since });
         self.holding.insert(key);
         self.arrivals += 1;
-        let worth = (self.set.classes[class].worth * 1_000.0) as u64;
+        let worth = (self.set.classes[class].value * 1_000.0) as u64;
         let slo = self.set.classes[class].slo.min(left);
         let mut request = Request {
             class,
--- a/src/rules/ejection.rs
+++ b/src/rules/ejection.rs
@@ -64,7 +64,7 @@
 impl Server {
     /// What the end of an attempt tells of the server's health.
     pub(super) fn note_outcome(&mut self, status: Status, now: Micros, chance: u64) {
-        if matches!(status, Status::Ok | Status::Error | Status::Full) {
+        if matches!(status, Status::Ok | Status::Error | Status::Declined) {
             self.answered = now;
             self.eject_for = EJECT.0;
             // Cold again only after signs of a restart: one connection that fell silent is none.
@@ -87,8 +87,8 @@
                 }
             }
             // A half-open test without an answer, or that was never made, proves nothing.
-            Status::Cancelled | Status::Moot if self.health == Health::HalfOpen => self.eject(now),
-            Status::Full | Status::Cancelled | Status::Moot => {}
+            Status::Cancelled | Status::NotSent if self.health == Health::HalfOpen => self.eject(now),
+            Status::Declined | Status::Cancelled | Status::NotSent => {}
         }
     }
 
--- a/src/rules/escrow.rs
+++ b/src/rules/escrow.rs
@@ -44,8 +44,8 @@
             let (units, remote) = (item.units, item.peer.is_some());
             let held = customer.held(window);
             let granted = !remote && customer.granted >= units;
-            let open = (plan.open / customer.spread).floor().max(1.0);
-            let over_open = !remote && plan.open > 0.0 && customer.open >= open;
+            let open = (plan.max_concurrent / customer.spread).floor().max(1.0);
+            let over_open = !remote && plan.max_concurrent > 0.0 && customer.open >= open;
             let drained = limited && here && customer.store.level < units;
             let escrowed = held >= units;
             let leased = shared && escrowed;
@@ -71,7 +71,7 @@
                 customer.spend(units, source, leased, window);
                 if let Some(peer) = item.peer {
                     let message = Message::Grant { customer: key, units: units as f32 };
-                    out.push(Action::Tell { peer, data: message.encode() });
+                    out.push(Action::SendToPeer { peer, data: message.encode() });
                     continue;
                 }
                 if self.requests.contains_key(&item.id) {
@@ -100,7 +100,7 @@
                 continue;
             };
             let wait = wait.min(OWNER_ABSENT) as u32;
-            out.push(Action::Tell { peer, data: Message::Deny { customer: key, wait }.encode() });
+            out.push(Action::SendToPeer { peer, data: Message::Deny { customer: key, wait }.encode() });
         }
     }
 
@@ -157,7 +157,7 @@
         out: &mut Vec<Action>,
     ) {
         let Some(mut call) = self.calls.remove(&name) else { return };
-        let limit = self.set.counter.as_ref().map_or(0, |c| c.limit);
+        let limit = self.set.counter.as_ref().map_or(0, |c| c.call_timeout);
         let ok = status == Status::Ok;
         if self.woke != self.now {
             // An answer that cannot be read is an answer: it tells of no line.
@@ -200,7 +200,7 @@
     /// The customer of this key, with what its plan and its gateways make of it.
     pub(super) fn know(&mut self, key: u64, plan: usize, spread: u32) -> &mut Customer {
         let (now, born, max_units) = (self.now, self.born, self.set.max_units);
-        let peers = self.set.permissions.peers;
+        let peers = self.set.permissions.peer_messages;
         let (p, forget) = (&self.set.plans[plan], &mut self.forget);
         let known = self.customers.entry(key).or_insert_with(|| {
             // A window holds what the quota allows at most within it. Windows of different customers end at
--- a/src/rules/lease_owners.rs
+++ b/src/rules/lease_owners.rs
@@ -23,7 +23,7 @@
         customer.asking = Some(self.now + OWNER_WAIT);
         self.asks.insert((self.now + OWNER_WAIT, key));
         let message = Message::Ask { customer: key, plan, spread, units };
-        out.push(Action::Tell { peer, data: message.encode() });
+        out.push(Action::SendToPeer { peer, data: message.encode() });
     }
 
     /// Questions that are due without an answer.
@@ -45,7 +45,9 @@
 
     /// Takes what another gateway says; what makes no sense is passed over.
     pub(super) fn on_peer(&mut self, from: u32, data: &[u8], out: &mut Vec<Action>) {
-        let Some(message) = Message::decode(data).filter(|_| self.set.permissions.peers) else { return };
+        let Some(message) = Message::decode(data).filter(|_| self.set.permissions.peer_messages) else {
+            return;
+        };
         self.absent.remove(&from);
         let (Message::Ask { customer: key, .. }
         | Message::Grant { customer: key, .. }
--- a/src/rules/membership.rs
+++ b/src/rules/membership.rs
@@ -13,7 +13,7 @@
 const WATCH_SPREAD: Micros = 20_000;
 
 impl Gateway {
-    pub(super) fn on_servers(&mut self, kind: ListKind, entries: Vec<Entry>, out: &mut Vec<Action>) {
+    pub(super) fn on_servers(&mut self, kind: ListKind, entries: Vec<ServerEntry>, out: &mut Vec<Action>) {
         let spread = WATCH_SPREAD * u64::from(self.set.gateways);
         match kind {
             ListKind::Failed => {
@@ -21,7 +21,7 @@
                 self.watch_wait = (self.watch_wait * 2).min(WATCH_WAIT.1);
                 return;
             }
-            ListKind::Cached if self.set.ask => self.watch_in(spread.min(WATCH_WAIT.1), out),
+            ListKind::Cached if self.set.watch_discovery => self.watch_in(spread.min(WATCH_WAIT.1), out),
             // An answer: of an earlier call, perhaps, and no other is wanted then.
             _ => (self.watch_at, self.watch_wait) = (Micros::MAX, WATCH_WAIT.0),
         }
@@ -45,9 +45,9 @@
             let server = self.servers[entry.server].get_or_insert_with(|| Server {
                 zone: entry.zone,
                 cell: entry.cell,
-                ready: entry.state == Lifecycle::Ready,
+                ready: entry.lifecycle == Lifecycle::Ready,
                 weight: entry.weight.max(0.01),
-                started: entry.started,
+                started: entry.started_at,
                 eject_for: EJECT.0,
                 answered: now,
                 limit: LIMIT_FIRST / gateways,
@@ -56,18 +56,19 @@
                 slow: 1.0,
                 ..Server::default()
             });
-            let back = !server.ready && entry.state == Lifecycle::Ready;
+            let back = !server.ready && entry.lifecycle == Lifecycle::Ready;
             // Clocks may be stepped back: any other start than the one known is a new one.
-            let restarted = known && entry.started > 0 && entry.started != server.started;
-            server.ready = entry.state == Lifecycle::Ready;
-            server.gone = entry.state == Lifecycle::Gone;
-            server.started = entry.started;
-            let recent = entry.started > 0 && now < entry.started + self.set.rules.cold;
+            let restarted = known && entry.started_at > 0 && entry.started_at != server.started;
+            server.ready = entry.lifecycle == Lifecycle::Ready;
+            server.gone = entry.lifecycle == Lifecycle::Removed;
+            server.started = entry.started_at;
+            let recent =
+                entry.started_at > 0 && now < entry.started_at + self.set.server_rules.slow_start_duration;
             if recent && !known || restarted || back || (!known && !first) {
                 // Guards any fresh process, however discovery words it. Since its start where that is told:
                 // the list may come late, and it warms meanwhile.
-                let fresh = entry.started > 0 && (!back || restarted);
-                let since = if fresh { entry.started.max(earliest).min(now) } else { now };
+                let fresh = entry.started_at > 0 && (!back || restarted);
+                let since = if fresh { entry.started_at.max(earliest).min(now) } else { now };
                 server.begin_slow_start(since, now, chance);
                 server.reports.clear();
                 if restarted {
@@ -89,7 +90,7 @@
             return 0;
         }
         let answered = self.discovery_answered.replace(self.now);
-        answered.map_or(0, |at| at.saturating_sub(self.set.rules.safe_age()))
+        answered.map_or(0, |at| at.saturating_sub(self.set.server_rules.safe_age()))
     }
 
     /// Asks for a watch after a half to one and a half times this wait: calls that fail all at once must not
--- a/src/rules/retries.rs
+++ b/src/rules/retries.rs
@@ -16,7 +16,8 @@
 impl Gateway {
     /// An attempt has ended: its server is judged, and its request goes on or ends.
     pub(super) fn on_outcome(&mut self, outcome: &Outcome, out: &mut Vec<Action>) {
-        let Outcome { id, attempt: number, server: at, status, latency, closed, load } = *outcome;
+        let Outcome { id, attempt: number, server: at, status, latency, request_done: closed, load } =
+            *outcome;
         let class = self.requests.get(&id).map(|r| r.class);
         let (now, outs) = (self.now, self.load().1);
         let chance = self.draw();
@@ -37,7 +38,7 @@
         if attempt.fate != Fate::Out {
             return;
         }
-        let proven = matches!(status, Status::Full | Status::ConnectFailed | Status::Moot);
+        let proven = matches!(status, Status::Declined | Status::ConnectFailed | Status::NotSent);
         attempt.fate = if proven { Fate::NeverRan } else { Fate::MayHaveRun };
         if request.attempts.iter().all(|a| a.fate != Fate::Out) {
             self.retry(id, proven, out);
@@ -66,16 +67,16 @@
         let Some(request) = self.requests.get(&id) else { return };
         let (class, allow) = (&self.set.classes[request.class], &self.set.permissions);
         let out_now = request.attempts.iter().any(|a| a.fate == Fate::Out);
-        let effect = match (class.effect, request.attempts.iter().find(|a| a.fate != Fate::NeverRan)) {
-            (_, None) | (Effect::Safe, _) => true,
+        let effect = match (class.idempotency, request.attempts.iter().find(|a| a.fate != Fate::NeverRan)) {
+            (_, None) | (Idempotency::Idempotent, _) => true,
             // It may go out as late as its connection comes up, and must do so while the key is known.
-            (Effect::Keyed, Some(a)) => {
-                self.now + self.set.round + allow.connect + HELD_UP < a.sent + class.window
+            (Idempotency::Keyed, Some(a)) => {
+                self.now + self.set.tick + allow.connect_timeout + HELD_UP < a.sent + class.dedup_window
             }
-            (Effect::Unsafe, Some(_)) => false,
+            (Idempotency::NonIdempotent, Some(_)) => false,
         };
         let allowed = effect
-            && (allow.second_copies || !out_now)
+            && (allow.parallel_attempts || !out_now)
             && (request.attempts.len() as u32) < allow.max_attempts
             && (proven || self.retries >= 1.0)
             && request.deadline > self.now + MARGIN * SWEEP;
@@ -103,8 +104,8 @@
             a.fate == Fate::Out && !a.cancelled && server.is_some_and(|s| s.health != Health::Up)
         });
         let Some((number, _)) = stuck else { return };
-        let safe = self.set.classes[request.class].effect != Effect::Unsafe;
-        if self.set.permissions.second_copies {
+        let safe = self.set.classes[request.class].idempotency != Idempotency::NonIdempotent;
+        if self.set.permissions.parallel_attempts {
             self.retry(id, false, out);
         } else if safe && self.set.permissions.cancel && self.retries >= 1.0 {
             request.attempts[number].cancelled = true;
@@ -128,7 +129,7 @@
     pub(super) fn refuse(&mut self, id: RequestId, wait: Micros, out: &mut Vec<Action>) {
         let allow = &self.set.permissions;
         let wait = wait.max(RETRY_AFTER_LEAST).min(allow.max_retry_after);
-        let retry_after = if allow.retry_after { wait } else { 0 };
+        let retry_after = if allow.send_retry_after { wait } else { 0 };
         out.push(Action::Refuse { id, retry_after });
         self.close(id, out);
     }
--- a/src/rules/selection.rs
+++ b/src/rules/selection.rs
@@ -40,10 +40,10 @@
         // seconds old by the next request, while answers of all together tell at once that too much is out.
         let bound = if reported { self.outstanding_limit } else { limits.min(self.outstanding_limit) };
         let full = outs >= bound.max(1.0);
-        let half_open = class.effect != Effect::Unsafe && request.attempts.is_empty();
-        let same = |server: &Server| match (class.effect, class.scope, group) {
-            (Effect::Keyed, Scope::Zone, Some((zone, _))) => zone == server.zone,
-            (Effect::Keyed, Scope::Cell, Some((_, cell))) => cell == server.cell,
+        let half_open = class.idempotency != Idempotency::NonIdempotent && request.attempts.is_empty();
+        let same = |server: &Server| match (class.idempotency, class.key_scope, group) {
+            (Idempotency::Keyed, KeyScope::Zone, Some((zone, _))) => zone == server.zone,
+            (Idempotency::Keyed, KeyScope::Cell, Some((_, cell))) => cell == server.cell,
             _ => true,
         };
         let mut able: Vec<(f64, ServerId)> = Vec::with_capacity(usable);
@@ -53,7 +53,7 @@
             if !server.ready || tried || !same(server) {
                 continue;
             }
-            server.fill_slow_start(&self.set.rules, now, share);
+            server.fill_slow_start(&self.set.server_rules, now, share);
             let mine = server.outs.len() as f64;
             let jammed = server.reports.backlog(&self.fleet, now) > REPORTED_MOST;
             let cost = match server.health {
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -7,24 +7,24 @@
 
 /// Why a settings object cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SetupError {
+pub struct SettingsError {
     /// Where in the object.
     pub key: String,
     /// What is wrong there.
     pub reason: String,
 }
 
-impl fmt::Display for SetupError {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.key, self.reason)
     }
 }
 
-impl std::error::Error for SetupError {}
+impl std::error::Error for SettingsError {}
 
 /// The settings object: what the module needs, the names behind its indices, and figures for sockets.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Setup {
+pub struct HostSettings {
     /// What the module is told.
     pub settings: Settings,
     /// Names of the classes, by index.
@@ -34,13 +34,13 @@
     /// Names of the zones, by index.
     pub zones: Vec<String>,
     /// A connection to a server that is not made by then has failed.
-    pub dial_timeout: Micros,
+    pub connect_timeout: Micros,
     /// A server closes idle connections after this time at the latest.
-    pub keepalive: Micros,
+    pub server_idle_timeout: Micros,
     /// Time in which sends to a server that drains must stop; 0 where it is not told.
     pub drain_grace: Micros,
     /// The longest time that a client of any class waits.
-    pub longest: Micros,
+    pub max_deadline: Micros,
 }
 
 fn num(v: &Value, key: &str) -> f64 {
@@ -67,44 +67,50 @@
     rows(v, key).iter().map(|r| text(r, "name").to_owned()).collect()
 }
 
-fn class(v: &Value) -> Result<Class, SetupError> {
+fn class(v: &Value) -> Result<Class, SettingsError> {
     let effect = match text(v, "effect") {
-        "pure" => Effect::Safe,
-        "token" => Effect::Keyed,
-        "side_effect" => Effect::Unsafe,
+        "pure" => Idempotency::Idempotent,
+        "token" => Idempotency::Keyed,
+        "side_effect" => Idempotency::NonIdempotent,
         other => {
             let reason = format!("unknown effect: {other}");
-            return Err(SetupError { key: "profiles[].effect".into(), reason });
+            return Err(SettingsError { key: "profiles[].effect".into(), reason });
         }
     };
     let scope = match text(v, "key-scope") {
-        "zone" => Scope::Zone,
-        "cell" => Scope::Cell,
-        _ => Scope::All,
+        "zone" => KeyScope::Zone,
+        "cell" => KeyScope::Cell,
+        _ => KeyScope::All,
     };
-    Ok(Class { slo: time(v, "goal-time"), effect, scope, window: time(v, "window"), worth: num(v, "worth") })
+    Ok(Class {
+        slo: time(v, "goal-time"),
+        idempotency: effect,
+        key_scope: scope,
+        dedup_window: time(v, "window"),
+        value: num(v, "worth"),
+    })
 }
 
-impl Setup {
+impl HostSettings {
     /// Reads the object. Keys that are absent stand for nought; those that are not known are passed over.
-    pub fn read(v: &Value) -> Result<Self, SetupError> {
+    pub fn from_json(v: &Value) -> Result<Self, SettingsError> {
         let zones: Vec<String> =
             rows(v, "failure-domains").iter().filter_map(Value::as_str).map(str::to_owned).collect();
         let (allow, rules, info) = (&v["permissions"], &v["rules"], &v["family-info"]);
         let settings = Settings {
             gateways: num(v, "balancers").max(1.0) as u32,
-            me: num(v, "me") as u32,
+            gateway_index: num(v, "me") as u32,
             zone: zones.iter().position(|z| z == text(v, "zone")).unwrap_or_default(),
-            round: time(v, "round"),
-            ask: text(v, "discovery") == "ask",
+            tick: time(v, "round"),
+            watch_discovery: text(v, "discovery") == "ask",
             classes: rows(v, "profiles").iter().map(class).collect::<Result<_, _>>()?,
             plans: rows(v, "plans")
                 .iter()
                 .map(|p| Plan {
                     rate: num(p, "per-second"),
                     burst: num(p, "store-size"),
-                    open: num(p, "at-once"),
-                    price: num(p, "pays"),
+                    max_concurrent: num(p, "at-once"),
+                    value_factor: num(p, "pays"),
                     ceiling_rate: num(p, "cap-rate"),
                     ceiling_burst: num(p, "hard-burst"),
                 })
@@ -112,31 +118,32 @@
             max_units: num(info, "max-units"),
             permissions: Permissions {
                 cancel: flag(allow, "cancel"),
-                second_copies: flag(allow, "may-duplicate"),
+                parallel_attempts: flag(allow, "may-duplicate"),
                 max_attempts: num(allow, "max-attempts") as u32,
                 max_retry_after: time(allow, "max-retry-after"),
-                retry_after: flag(allow, "retry-after"),
-                peers: flag(allow, "may-tell"),
-                connect: time(allow, "dial-timeout"),
+                send_retry_after: flag(allow, "retry-after"),
+                peer_messages: flag(allow, "may-tell"),
+                connect_timeout: time(allow, "dial-timeout"),
             },
-            counter: flag(info, "may-count").then(|| CounterSettings { limit: time(info, "count-limit") }),
-            rules: Rules {
-                cold: time(rules, "cold"),
-                cold_from: num(rules, "cold-from"),
-                fall: time(rules, "fall"),
-                fall_multiple: num(rules, "fall-multiple"),
-                ask_within: time(rules, "must-ask-in"),
+            counter: flag(info, "may-count")
+                .then(|| CounterSettings { call_timeout: time(info, "count-limit") }),
+            server_rules: ServerRules {
+                slow_start_duration: time(rules, "cold"),
+                initial_capacity: num(rules, "cold-from"),
+                overload_duration: time(rules, "fall"),
+                overload_factor: num(rules, "fall-multiple"),
+                max_watch_interval: time(rules, "must-ask-in"),
             },
         };
-        Ok(Setup {
+        Ok(HostSettings {
             settings,
             classes: names(v, "profiles"),
             plans: names(v, "plans"),
             zones,
-            dial_timeout: time(allow, "dial-timeout"),
-            keepalive: time(allow, "keepalive"),
+            connect_timeout: time(allow, "dial-timeout"),
+            server_idle_timeout: time(allow, "keepalive"),
             drain_grace: time(rules, "drain-grace"),
-            longest: rows(v, "profiles").iter().map(|p| time(p, "deadline")).max().unwrap_or_default(),
+            max_deadline: rows(v, "profiles").iter().map(|p| time(p, "deadline")).max().unwrap_or_default(),
         })
     }
 }
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -6,7 +6,7 @@
 
 /// When a gateway asks, if every call fails at once.
 fn asked(gateways: u32, seed: u64, until: Micros) -> Vec<Micros> {
-    let mut host = Host::seeded(Settings { ask: true, gateways, ..settings() }, 3, seed);
+    let mut host = Host::seeded(Settings { watch_discovery: true, gateways, ..settings() }, 3, seed);
     let (start, mut seen, mut times) = (host.now, 0, Vec::new());
     while host.now < start + until {
         host.wait(10 * MS);
@@ -53,7 +53,7 @@
 #[test]
 fn an_answer_ends_the_wait_for_the_next_call() {
     for kind in [ListKind::Delta, ListKind::Full] {
-        let mut host = Host::new(Settings { ask: true, ..settings() }, 3);
+        let mut host = Host::new(Settings { watch_discovery: true, ..settings() }, 3);
         host.wait(S);
         host.list(ListKind::Failed, Vec::new());
         host.list(kind, (0..3).map(entry).collect());
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_list_that_comes_sets_the_wait_back() {
-    let mut host = Host::new(Settings { ask: true, ..settings() }, 3);
+    let mut host = Host::new(Settings { watch_discovery: true, ..settings() }, 3);
     for _ in 0..6 {
         host.list(ListKind::Failed, Vec::new());
     }
--- a/tests/ceiling.rs
+++ b/tests/ceiling.rs
@@ -15,7 +15,7 @@
 impl Fleet {
     fn new(size: u32) -> Self {
         let fresh = |me: u32| {
-            let set = Settings { gateways: size, me, ..settings() };
+            let set = Settings { gateways: size, gateway_index: me, ..settings() };
             let mut host = Host::seeded(set, 4, u64::from(me) * 97 + 3);
             host.serve = (0..4).collect();
             host
@@ -27,7 +27,16 @@
         self.next += 1;
         let spread = self.hosts.len() as u32;
         let (id, customer) = (self.next, customer.to_owned());
-        let demand = Demand { id, class: 0, plan: 1, customer, left: S, units: 1.0, spread, first: 0 };
+        let demand = ClientRequest {
+            id,
+            class: 0,
+            plan: 1,
+            customer,
+            time_left: S,
+            units: 1.0,
+            gateways: spread,
+            first_gateway: 0,
+        };
         self.turn(at, |host| host.give(Event::Request(demand)));
     }
 
@@ -92,12 +101,12 @@
     set.classes[0].slo = 8 * S;
     let mut host = Host::new(set, 1);
     // Three windows go by while no server takes anything.
-    host.list(ListKind::Delta, vec![Entry { state: Lifecycle::Draining, ..entry(0) }]);
+    host.list(ListKind::Delta, vec![ServerEntry { lifecycle: Lifecycle::Draining, ..entry(0) }]);
     for id in 0..60 {
         host.ask(id, 0, 1, 8 * S);
         host.wait(50 * MS);
     }
-    let fleet = (0..30).map(|n| Entry { started: 1, ..entry(n) }).collect();
+    let fleet = (0..30).map(|n| ServerEntry { started_at: 1, ..entry(n) }).collect();
     host.list(ListKind::Full, fleet);
     host.wait(20 * MS);
     let at_once = host.sends.len();
--- a/tests/combinations.rs
+++ b/tests/combinations.rs
@@ -51,7 +51,7 @@
         host.wait(10 * MS);
     }
     let start = host.now;
-    let fresh = |n| Entry { started: start, ..entry(n) };
+    let fresh = |n| ServerEntry { started_at: start, ..entry(n) };
     host.list(ListKind::Delta, vec![fresh(2), fresh(3)]);
     for id in 500..600 {
         for copy in 0..4 {
@@ -107,8 +107,16 @@
         // Four servers take half of the objective for everything; the first two take work and answer nothing.
         while out.first().is_some_and(|o| o.0 + 500 * MS <= host.now) {
             let (_, id, attempt, server) = out.remove(0);
-            let (status, latency, load) = (Status::Ok, 500 * MS, Load::default());
-            host.give(Event::Outcome(Outcome { id, attempt, server, status, latency, closed: true, load }));
+            let (status, latency, load) = (Status::Ok, 500 * MS, LoadReport::default());
+            host.give(Event::Outcome(Outcome {
+                id,
+                attempt,
+                server,
+                status,
+                latency,
+                request_done: true,
+                load,
+            }));
             answered += 1;
         }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,50 +7,56 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Effect, scope: Scope) -> Class {
-    Class { slo: S, effect, scope, window: 4 * S, worth: 1.0 }
+pub fn class(effect: Idempotency, scope: KeyScope) -> Class {
+    Class { slo: S, idempotency: effect, key_scope: scope, dedup_window: 4 * S, value: 1.0 }
 }
 
 pub fn plan(rate: f64, burst: f64) -> Plan {
-    Plan { rate, burst, open: 0.0, price: 1.0, ceiling_rate: 0.0, ceiling_burst: 0.0 }
+    Plan { rate, burst, max_concurrent: 0.0, value_factor: 1.0, ceiling_rate: 0.0, ceiling_burst: 0.0 }
 }
 
 pub fn settings() -> Settings {
     Settings {
         gateways: 2,
-        me: 0,
+        gateway_index: 0,
         zone: 0,
-        round: 4 * MS,
-        ask: false,
+        tick: 4 * MS,
+        watch_discovery: false,
         classes: vec![
-            class(Effect::Safe, Scope::All),
-            class(Effect::Keyed, Scope::All),
-            class(Effect::Unsafe, Scope::All),
-            class(Effect::Keyed, Scope::Zone),
+            class(Idempotency::Idempotent, KeyScope::All),
+            class(Idempotency::Keyed, KeyScope::All),
+            class(Idempotency::NonIdempotent, KeyScope::All),
+            class(Idempotency::Keyed, KeyScope::Zone),
         ],
         plans: vec![
             plan(4.0, 8.0),
             Plan { ceiling_rate: 8.0, ceiling_burst: 16.0, ..plan(4.0, 8.0) },
-            Plan { open: 2.0, ..plan(0.0, 0.0) },
+            Plan { max_concurrent: 2.0, ..plan(0.0, 0.0) },
             plan(0.0, 0.0),
         ],
         max_units: 1.0,
         permissions: Permissions {
             cancel: true,
-            second_copies: true,
+            parallel_attempts: true,
             max_attempts: 3,
             max_retry_after: S,
-            retry_after: true,
-            peers: false,
-            connect: 250 * MS,
+            send_retry_after: true,
+            peer_messages: false,
+            connect_timeout: 250 * MS,
+        },
+        counter: Some(CounterSettings { call_timeout: 50 * MS }),
+        server_rules: ServerRules {
+            slow_start_duration: 10 * S,
+            initial_capacity: 0.25,
+            overload_duration: S,
+            overload_factor: 2.0,
+            max_watch_interval: 0,
         },
-        counter: Some(CounterSettings { limit: 50 * MS }),
-        rules: Rules { cold: 10 * S, cold_from: 0.25, fall: S, fall_multiple: 2.0, ask_within: 0 },
     }
 }
 
-pub fn entry(server: ServerId) -> Entry {
-    Entry { server, zone: server % 2, cell: 0, state: Lifecycle::Ready, weight: 1.0, started: 0 }
+pub fn entry(server: ServerId) -> ServerEntry {
+    ServerEntry { server, zone: server % 2, cell: 0, lifecycle: Lifecycle::Ready, weight: 1.0, started_at: 0 }
 }
 
 /// How the counter of a script behaves.
@@ -103,7 +109,7 @@
         host
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
+    pub fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
         self.give(Event::Servers { kind, entries });
     }
 
@@ -123,8 +129,8 @@
                             server,
                             status: Status::Ok,
                             latency: 100 * MS,
-                            closed: true,
-                            load: Load::default(),
+                            request_done: true,
+                            load: LoadReport::default(),
                         };
                         self.pending.push((self.now + 100 * MS, Event::Outcome(outcome)));
                     }
@@ -144,7 +150,7 @@
                     let counted = Event::Counted { name, status, total: *total, latency: after };
                     self.pending.push((self.now + after, counted));
                 }
-                Action::Cancel { .. } | Action::Tell { .. } | Action::Watch => {}
+                Action::Cancel { .. } | Action::SendToPeer { .. } | Action::Watch => {}
             }
         }
     }
@@ -162,13 +168,30 @@
         (class, plan, left): (usize, usize, Micros),
     ) {
         let (customer, units, first) = (customer.to_owned(), 1.0, 0);
-        self.give(Event::Request(Demand { id, class, plan, customer, left, units, spread, first }));
+        self.give(Event::Request(ClientRequest {
+            id,
+            class,
+            plan,
+            customer,
+            time_left: left,
+            units,
+            gateways: spread,
+            first_gateway: first,
+        }));
     }
 
     pub fn done(&mut self, id: RequestId, attempt: u32, server: ServerId, status: Status) {
-        let (closed, load) = (status == Status::Ok, Load::default());
+        let (closed, load) = (status == Status::Ok, LoadReport::default());
         let latency = 100 * MS;
-        self.give(Event::Outcome(Outcome { id, attempt, server, status, latency, closed, load }));
+        self.give(Event::Outcome(Outcome {
+            id,
+            attempt,
+            server,
+            status,
+            latency,
+            request_done: closed,
+            load,
+        }));
     }
 
     /// Lets time pass: timers and answers of the counter come when they are due.
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -7,15 +7,23 @@
 /// Sends for a request after its client has left and much time has passed, in which all its attempts end.
 fn sent_after(host: &mut Host, id: RequestId, ends: Status) -> usize {
     let before = host.sent(id).len();
-    host.give(Event::Gone { id });
+    host.give(Event::ClientGone { id });
     host.wait(100 * MS);
     for (attempt, server) in host.sent(id).into_iter().enumerate() {
-        let (attempt, load) = (attempt as u32, Load::default());
+        let (attempt, load) = (attempt as u32, LoadReport::default());
         let status = ends;
-        host.give(Event::Outcome(Outcome { id, attempt, server, status, latency: S, closed: true, load }));
+        host.give(Event::Outcome(Outcome {
+            id,
+            attempt,
+            server,
+            status,
+            latency: S,
+            request_done: true,
+            load,
+        }));
     }
     host.mode = CounterMode::Answers;
-    let back = Entry { state: Lifecycle::Ready, ..entry(0) };
+    let back = ServerEntry { lifecycle: Lifecycle::Ready, ..entry(0) };
     host.list(ListKind::Delta, vec![back, entry(1), entry(2)]);
     host.wait(10 * S);
     host.sent(id).len() - before
@@ -23,8 +31,14 @@
 
 #[test]
 fn nothing_is_sent_for_a_client_that_has_left() {
-    let ends =
-        [Status::Full, Status::ConnectFailed, Status::Reset, Status::Error, Status::Timeout, Status::Moot];
+    let ends = [
+        Status::Declined,
+        Status::ConnectFailed,
+        Status::Reset,
+        Status::Error,
+        Status::Timeout,
+        Status::NotSent,
+    ];
     for cancel in [true, false] {
         for ends in ends {
             for class in 0..3 {
@@ -34,7 +48,7 @@
                     let mut host = Host::new(set, 3);
                     host.mode = if held == "counter" { CounterMode::Silent } else { CounterMode::Answers };
                     if held == "server" {
-                        let drains = |n| Entry { state: Lifecycle::Draining, ..entry(n) };
+                        let drains = |n| ServerEntry { lifecycle: Lifecycle::Draining, ..entry(n) };
                         host.list(ListKind::Delta, (0..3).map(drains).collect());
                     }
                     host.ask(7, class, 0, 8 * S);
--- a/tests/escrow.rs
+++ b/tests/escrow.rs
@@ -181,7 +181,16 @@
     for id in 0..2_000 {
         let customer = format!("choir {}", id % 29);
         let (class, plan, left, units, spread, first) = (0, 0, 4 * S, 1.0, 2, 0);
-        host.give(Event::Request(Demand { id, class, plan, customer, left, units, spread, first }));
+        host.give(Event::Request(ClientRequest {
+            id,
+            class,
+            plan,
+            customer,
+            time_left: left,
+            units,
+            gateways: spread,
+            first_gateway: first,
+        }));
         host.wait(10 * MS);
     }
     let late = host.now - 10 * S;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,19 +6,28 @@
 
 /// Settings of one of many gateways that may talk.
 fn talking(me: u32, gateways: u32) -> Settings {
-    let mut set = Settings { me, gateways, ..settings() };
-    set.permissions.peers = true;
+    let mut set = Settings { gateway_index: me, gateways, ..settings() };
+    set.permissions.peer_messages = true;
     set
 }
 
 fn ask_of(host: &mut Host, id: RequestId, spread: u32) {
     let (customer, class, plan, left, units, first) = ("choir".to_owned(), 0, 0, 4 * S, 1.0, 0);
-    host.give(Event::Request(Demand { id, class, plan, customer, left, units, spread, first }));
+    host.give(Event::Request(ClientRequest {
+        id,
+        class,
+        plan,
+        customer,
+        time_left: left,
+        units,
+        gateways: spread,
+        first_gateway: first,
+    }));
 }
 
 fn told(host: &Host) -> Vec<(u32, Vec<u8>)> {
     let tell = |a: &Action| match a {
-        Action::Tell { peer, data } => Some((*peer, data.clone())),
+        Action::SendToPeer { peer, data } => Some((*peer, data.clone())),
         _ => None,
     };
     host.all.iter().filter_map(tell).collect()
@@ -37,7 +46,7 @@
             seen[from] = messages.len();
         }
         for (from, (to, data)) in mail.into_iter().filter(|_| deliver) {
-            hosts[to as usize].give(Event::Peer { from, data });
+            hosts[to as usize].give(Event::PeerMessage { from, data });
         }
     }
 }
@@ -109,7 +118,7 @@
     below[9..13].copy_from_slice(&(-4.0f32).to_le_bytes());
     for data in [vec![], vec![9; 16], vec![0; 7], vec![2; 300], unknown_plan, endless, below, vec![2; 13]] {
         for from in [0, 3, 4_000_000_000] {
-            host.give(Event::Peer { from, data: data.clone() });
+            host.give(Event::PeerMessage { from, data: data.clone() });
         }
     }
     host.wait(S);
@@ -118,7 +127,7 @@
     let mut silent = Host::new(settings(), 4);
     let mut question = vec![0; 16];
     question[9..13].copy_from_slice(&1.0f32.to_le_bytes());
-    silent.give(Event::Peer { from: 1, data: question });
+    silent.give(Event::PeerMessage { from: 1, data: question });
     silent.wait(S);
     assert!(silent.calls.is_empty() && told(&silent).is_empty());
 }
@@ -142,7 +151,7 @@
             host.wait(20 * MS);
             if step == 300 {
                 start = host.now;
-                let rack = (0..6).map(|s| Entry { started: start, ..entry(s) }).collect();
+                let rack = (0..6).map(|s| ServerEntry { started_at: start, ..entry(s) }).collect();
                 host.list(ListKind::Delta, rack);
             }
         }
@@ -191,7 +200,7 @@
     for id in 0..50 {
         host.ask(id, 0, 3, 4 * S);
         if !host.sent(id).is_empty() {
-            host.done(id, 0, 0, Status::Full);
+            host.done(id, 0, 0, Status::Declined);
         }
     }
     for id in 100..108 {
@@ -214,8 +223,16 @@
         // Every answer takes 0.9 of the objective, each from another server than the last.
         while out.first().is_some_and(|o: &(Micros, u64, u32, usize)| o.0 + 900 * MS <= host.now) {
             let (_, id, attempt, server) = out.remove(0);
-            let (status, latency, load) = (Status::Ok, 900 * MS, Load::default());
-            host.give(Event::Outcome(Outcome { id, attempt, server, status, latency, closed: true, load }));
+            let (status, latency, load) = (Status::Ok, 900 * MS, LoadReport::default());
+            host.give(Event::Outcome(Outcome {
+                id,
+                attempt,
+                server,
+                status,
+                latency,
+                request_done: true,
+                load,
+            }));
         }
     }
     assert!(most <= 3, "{most} out from one of 300 gateways, whose share of the first bounds is 2.7");
@@ -228,7 +245,16 @@
     for id in 0..5_000 {
         let customer = format!("club{id}");
         let (class, plan, left, units, spread, first) = (0, 0, S, 1.0, 2, 0);
-        host.give(Event::Request(Demand { id, class, plan, customer, left, units, spread, first }));
+        host.give(Event::Request(ClientRequest {
+            id,
+            class,
+            plan,
+            customer,
+            time_left: left,
+            units,
+            gateways: spread,
+            first_gateway: first,
+        }));
         host.wait(2 * MS);
     }
     host.wait(5 * S);
@@ -260,7 +286,16 @@
                 }
                 let (customer, class, plan, left, units) = ("choir".to_owned(), 0, 1, S, 1.0);
                 let (id, spread, first) = (step, 8, 0);
-                host.give(Event::Request(Demand { id, class, plan, customer, left, units, spread, first }));
+                host.give(Event::Request(ClientRequest {
+                    id,
+                    class,
+                    plan,
+                    customer,
+                    time_left: left,
+                    units,
+                    gateways: spread,
+                    first_gateway: first,
+                }));
                 host.wait(10 * MS);
             }
             if step % 170 == 169 {
@@ -295,7 +330,16 @@
                 let (customer, class, plan) =
                     (format!("club{}", id % 5), (id % 3) as usize, (id % 4) as usize);
                 let (left, units) = (S, 1.0);
-                host.give(Event::Request(Demand { id, class, plan, customer, left, units, spread, first }));
+                host.give(Event::Request(ClientRequest {
+                    id,
+                    class,
+                    plan,
+                    customer,
+                    time_left: left,
+                    units,
+                    gateways: spread,
+                    first_gateway: first,
+                }));
                 if id == 20 {
                     host.now += 3_600 * S;
                 }
@@ -331,13 +375,13 @@
     host.ask(1, 0, 3, 4 * S);
     host.wait(5 * MS);
     let at = host.sent(1)[0];
-    host.list(ListKind::Delta, vec![Entry { state: Lifecycle::Gone, ..entry(at) }]);
+    host.list(ListKind::Delta, vec![ServerEntry { lifecycle: Lifecycle::Removed, ..entry(at) }]);
     // Its outcome still counts: the request is answered, not lost.
     host.done(1, 0, at, Status::ConnectFailed);
     assert_eq!(host.sent(1).len(), 2, "the other server is tried");
     for n in 0..50 {
         host.list(ListKind::Delta, vec![entry(at)]);
-        host.list(ListKind::Delta, vec![Entry { state: Lifecycle::Gone, ..entry(at) }]);
+        host.list(ListKind::Delta, vec![ServerEntry { lifecycle: Lifecycle::Removed, ..entry(at) }]);
         host.ask(100 + n, 0, 3, 4 * S);
         host.wait(5 * MS);
         assert!(host.sent(100 + n).iter().all(|s| *s != at), "nothing goes to what is gone");
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn unsafe_work_that_never_ran_goes_elsewhere() {
-    for status in [Status::Full, Status::ConnectFailed] {
+    for status in [Status::Declined, Status::ConnectFailed] {
         let mut host = Host::new(settings(), 3);
         let server = sent_one(&mut host, 1, 2);
         host.done(1, 0, server, status);
@@ -71,7 +71,7 @@
     host.ask(1, 0, 3, 4 * S);
     for attempt in 0..3 {
         let server = host.sent(1)[attempt as usize];
-        host.done(1, attempt, server, Status::Full);
+        host.done(1, attempt, server, Status::Declined);
     }
     assert_eq!(host.sent(1).len(), 3);
     assert!(host.refused(1), "none of them ran");
@@ -80,7 +80,7 @@
 #[test]
 fn where_copies_are_not_allowed_an_attempt_is_withdrawn_first() {
     let mut set = settings();
-    set.permissions.second_copies = false;
+    set.permissions.parallel_attempts = false;
     let mut host = Host::new(set, 4);
     let hung = sent_one(&mut host, 1, 0);
     // The others answer, the first stays silent.
@@ -127,7 +127,7 @@
 #[test]
 fn nothing_goes_to_a_server_that_drains_or_is_gone() {
     let mut host = Host::new(settings(), 3);
-    let draining = Entry { state: Lifecycle::Draining, ..entry(0) };
+    let draining = ServerEntry { lifecycle: Lifecycle::Draining, ..entry(0) };
     host.list(ListKind::Delta, vec![draining]);
     host.list(ListKind::Full, vec![entry(2)]);
     for id in 0..8 {
@@ -156,7 +156,7 @@
         host.ask(id, 0, 3, 4 * S);
         host.wait(20 * MS);
         if id == 150 {
-            host.list(ListKind::Delta, vec![Entry { started: host.now, ..entry(1) }]);
+            host.list(ListKind::Delta, vec![ServerEntry { started_at: host.now, ..entry(1) }]);
         }
     }
     let start = host.now - 149 * 20 * MS;
@@ -173,13 +173,13 @@
 fn every_refusal_says_when_to_come_back_where_that_is_allowed() {
     for allowed in [true, false] {
         let mut set = settings();
-        set.permissions.retry_after = allowed;
+        set.permissions.send_retry_after = allowed;
         let mut host = Host::new(set, 1);
         // One meets a server that turns it away, one finds no server, one has no time, the rest exceed the quota.
         host.ask(1, 0, 3, 4 * S);
         host.wait(5 * MS);
-        host.done(1, 0, 0, Status::Full);
-        host.list(ListKind::Delta, vec![Entry { state: Lifecycle::Draining, ..entry(0) }]);
+        host.done(1, 0, 0, Status::Declined);
+        host.list(ListKind::Delta, vec![ServerEntry { lifecycle: Lifecycle::Draining, ..entry(0) }]);
         host.ask(2, 0, 3, 4 * S);
         host.ask(3, 0, 3, 0);
         for id in 4..40 {
@@ -213,7 +213,7 @@
             host.serve = (0..3).collect();
             let (mut start, server) = (0, if restarted { 1 } else { 2 });
             if restarted {
-                host.list(ListKind::Delta, vec![Entry { started: host.now - 50 * S, ..entry(1) }]);
+                host.list(ListKind::Delta, vec![ServerEntry { started_at: host.now - 50 * S, ..entry(1) }]);
             }
             for id in 0..300 {
                 host.ask(id, 0, 3, 4 * S);
@@ -225,7 +225,7 @@
                 if id == 160 {
                     start = host.now;
                     let started = start + ahead - back;
-                    host.list(ListKind::Delta, vec![Entry { started, ..entry(server) }]);
+                    host.list(ListKind::Delta, vec![ServerEntry { started_at: started, ..entry(server) }]);
                 }
             }
             // Fifty a second: a warm one gets a half or a third. Twice a quarter of that, over one second.
@@ -281,15 +281,15 @@
     let mut host = Host::new(settings(), 2);
     let customer = "large".to_owned();
     let left = 2 * S;
-    host.give(Event::Request(Demand {
+    host.give(Event::Request(ClientRequest {
         id: 1,
         class: 0,
         plan: 0,
         customer,
-        left,
+        time_left: left,
         units: 900.0,
-        spread: 2,
-        first: 0,
+        gateways: 2,
+        first_gateway: 0,
     }));
     host.wait(2 * S);
     assert!(host.refused(1));
@@ -299,8 +299,8 @@
 #[test]
 fn unknown_and_repeated_events_are_passed_over() {
     let mut host = Host::new(settings(), 2);
-    host.give(Event::Gone { id: 77 });
-    host.give(Event::Started { id: 77, attempt: 0 });
+    host.give(Event::ClientGone { id: 77 });
+    host.give(Event::StreamStarted { id: 77, attempt: 0 });
     host.give(Event::Counted { name: 5, status: Status::Ok, total: 1.0, latency: 1 });
     host.done(77, 3, 99, Status::Ok);
     let server = sent_one(&mut host, 1, 2);
@@ -315,7 +315,7 @@
 fn a_started_stream_has_no_deadline() {
     let mut host = Host::new(settings(), 2);
     sent_one(&mut host, 1, 0);
-    host.give(Event::Started { id: 1, attempt: 0 });
+    host.give(Event::StreamStarted { id: 1, attempt: 0 });
     host.wait(10 * S);
     assert!(host.answers.is_empty());
     assert!(!host.all.contains(&Action::Cancel { id: 1, attempt: 0 }));
@@ -329,7 +329,7 @@
     host.wait(S + 100 * MS);
     host.ask(2, 0, 3, 4 * S);
     assert_eq!(host.sent(2), vec![0], "one request tries it out");
-    host.give(Event::Gone { id: 2 });
+    host.give(Event::ClientGone { id: 2 });
     host.done(2, 0, 0, Status::Cancelled);
     host.wait(3 * S);
     host.ask(3, 0, 3, 4 * S);
@@ -359,9 +359,9 @@
         // Every answer takes 0.6 of the objective, whatever is out.
         while out.first().is_some_and(|o| o.0 + 600 * MS <= host.now) {
             let (_, id, attempt, server) = out.remove(0);
-            let (latency, load) = (600 * MS, Load::default());
+            let (latency, load) = (600 * MS, LoadReport::default());
             let status = Status::Ok;
-            let done = Outcome { id, attempt, server, status, latency, closed: true, load };
+            let done = Outcome { id, attempt, server, status, latency, request_done: true, load };
             host.give(Event::Outcome(done));
             answered += 1;
         }
@@ -382,9 +382,9 @@
         most = most.max(out.len());
         while out.first().is_some_and(|o: &(Micros, u64, u32, usize)| o.0 + 800 * MS <= host.now) {
             let (_, id, attempt, server) = out.remove(0);
-            let (latency, load) = (800 * MS, Load::default());
+            let (latency, load) = (800 * MS, LoadReport::default());
             let status = Status::Ok;
-            let done = Outcome { id, attempt, server, status, latency, closed: true, load };
+            let done = Outcome { id, attempt, server, status, latency, request_done: true, load };
             host.give(Event::Outcome(done));
         }
     }
@@ -422,7 +422,7 @@
     host.wait(1_100 * MS);
     host.ask(10, 0, 3, 4 * S);
     assert_eq!(host.sent(10), [0], "it is tried out");
-    host.done(10, 0, 0, Status::Moot);
+    host.done(10, 0, 0, Status::NotSent);
     host.wait(9 * S);
     host.ask(11, 0, 3, 4 * S);
     assert_eq!(host.sent(11), [0], "nothing was learnt, so it is tried out again");
@@ -434,7 +434,7 @@
         let mut host = Host::seeded(settings(), 2, seed);
         host.ask(1, 3, 3, 4 * S);
         let first = host.sent(1)[0];
-        host.list(ListKind::Delta, vec![Entry { state: Lifecycle::Gone, ..entry(first) }]);
+        host.list(ListKind::Delta, vec![ServerEntry { lifecycle: Lifecycle::Removed, ..entry(first) }]);
         host.done(1, 0, first, Status::Reset);
         host.wait(S);
         assert_eq!(
@@ -451,7 +451,7 @@
     // A key is known for 4 s, a connection takes 1 s at most, and the process may be held up for 0.15 s on the way.
     for (after, again) in [(2_500 * MS, true), (2_900 * MS, false), (3_500 * MS, false)] {
         let mut set = settings();
-        set.permissions.connect = S;
+        set.permissions.connect_timeout = S;
         let mut host = Host::new(set, 4);
         host.ask(1, 1, 3, 8 * S);
         let first = host.sent(1)[0];
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -20,13 +20,13 @@
     let status = prop_oneof![
         4 => Just(Status::Ok),
         1 => Just(Status::Error),
-        1 => Just(Status::Full),
+        1 => Just(Status::Declined),
         1 => Just(Status::Timeout),
         1 => Just(Status::ConnectFailed),
         1 => Just(Status::Reset),
         1 => Just(Status::Cancelled),
     ];
-    let state = prop_oneof![Just(Lifecycle::Ready), Just(Lifecycle::Draining), Just(Lifecycle::Gone)];
+    let state = prop_oneof![Just(Lifecycle::Ready), Just(Lifecycle::Draining), Just(Lifecycle::Removed)];
     prop_oneof![
         4 => (0..4usize, 0..4usize).prop_map(|(c, p)| Step::Ask(c, p)),
         4 => (0..8usize, status).prop_map(|(n, s)| Step::End(n, s)),
@@ -38,7 +38,7 @@
 
 fn play(steps: &[Step], copies: bool) -> Host {
     let mut set = settings();
-    set.permissions.second_copies = copies;
+    set.permissions.parallel_attempts = copies;
     let mut host = Host::new(set, 5);
     let mut ready: BTreeSet<ServerId> = (0..5).collect();
     let mut out: Vec<(RequestId, u32, ServerId)> = Vec::new();
@@ -59,8 +59,8 @@
                         server,
                         status: *status,
                         latency: 50 * MS,
-                        closed: true,
-                        load: Load::default(),
+                        request_done: true,
+                        load: LoadReport::default(),
                     }));
                 } else {
                     if *status == Status::Ok {
@@ -81,7 +81,7 @@
                 } else {
                     ready.remove(server);
                 }
-                host.list(ListKind::Delta, vec![Entry { state: *state, ..entry(*server) }]);
+                host.list(ListKind::Delta, vec![ServerEntry { lifecycle: *state, ..entry(*server) }]);
             }
         }
         for &(_, id, attempt, server) in &host.sends[seen..] {
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -59,8 +59,14 @@
 }
 
 fn plans() -> Vec<Plan> {
-    let plan =
-        |rate, burst| Plan { rate, burst, open: 0.0, price: 1.0, ceiling_rate: 0.0, ceiling_burst: 0.0 };
+    let plan = |rate, burst| Plan {
+        rate,
+        burst,
+        max_concurrent: 0.0,
+        value_factor: 1.0,
+        ceiling_rate: 0.0,
+        ceiling_burst: 0.0,
+    };
     vec![plan(2.0, 8.0), plan(6.0, 24.0), plan(20.0, 45.0)]
 }
 
@@ -156,7 +162,13 @@
     let mut truth = Truth::default();
     let mut gateways: Vec<Gateway> = (0..GATEWAYS)
         .map(|me| {
-            let set = Settings { me, gateways: GATEWAYS, plans: plans(), max_units: 3.0, ..settings() };
+            let set = Settings {
+                gateway_index: me,
+                gateways: GATEWAYS,
+                plans: plans(),
+                max_units: 3.0,
+                ..settings()
+            };
             let mut gateway = Gateway::new(set, seed.wrapping_add(u64::from(me) * 7_919), start);
             let list = (0..40).map(common::entry).collect();
             gateway.handle(start, Event::Servers { kind: ListKind::Cached, entries: list }, &mut Vec::new());
@@ -180,7 +192,16 @@
             let (customer, units) = (format!("{:016x}", attempt.customer), attempt.units);
             let (plan, spread) = (plan_of(attempt.customer), spread(attempt.customer));
             let first = (attempt.customer * 17 % u64::from(GATEWAYS)) as u32;
-            let demand = Demand { id: last, class: 0, plan, customer, left: 4 * S, units, spread, first };
+            let demand = ClientRequest {
+                id: last,
+                class: 0,
+                plan,
+                customer,
+                time_left: 4 * S,
+                units,
+                gateways: spread,
+                first_gateway: first,
+            };
             tries.insert(last, (attempt, 0));
             due.push((at, Event::Request(demand)));
         }
@@ -208,10 +229,18 @@
                         if *sends == 0 {
                             truth.send(attempt, now);
                         }
-                        let (number, load) = (*sends, Load::default());
+                        let (number, load) = (*sends, LoadReport::default());
                         *sends += 1;
                         let (latency, status, closed) = (100 * MS, Status::Ok, true);
-                        let outcome = Outcome { id, attempt: number, server, status, latency, closed, load };
+                        let outcome = Outcome {
+                            id,
+                            attempt: number,
+                            server,
+                            status,
+                            latency,
+                            request_done: closed,
+                            load,
+                        };
                         events.entry(now + latency).or_default().push((at, Event::Outcome(outcome)));
                     }
                     Action::Refuse { id, .. } => {
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -4,8 +4,8 @@
 use common::*;
 use pondgw::*;
 
-fn report(held: f64, qps: f64, util: f64) -> Load {
-    Load { inflight: Some(held), util: Some(util), qps: Some(qps), ..Load::default() }
+fn report(held: f64, qps: f64, util: f64) -> LoadReport {
+    LoadReport { inflight: Some(held), util: Some(util), qps: Some(qps), ..LoadReport::default() }
 }
 
 fn many() -> Settings {
@@ -13,10 +13,10 @@
 }
 
 /// Answers a request after 100 ms with a report.
-fn answer(host: &mut Host, id: RequestId, load: Load) {
+fn answer(host: &mut Host, id: RequestId, load: LoadReport) {
     host.wait(100 * MS);
     let (server, attempt, status, latency, closed) = (host.sent(id)[0], 0, Status::Ok, 100 * MS, true);
-    host.give(Event::Outcome(Outcome { id, attempt, server, status, latency, closed, load }));
+    host.give(Event::Outcome(Outcome { id, attempt, server, status, latency, request_done: closed, load }));
 }
 
 #[test]
@@ -40,13 +40,13 @@
 
 #[test]
 fn odd_reports_are_taken_for_none() {
-    let mut load = Load::default();
+    let mut load = LoadReport::default();
     for (name, value) in
         [("busy_reqs", f64::NAN), ("cpu_share", -1.0), ("served_ps", f64::INFINITY), ("x", 1.0)]
     {
-        load.set(name, value);
+        load.set_metric(name, value);
     }
-    assert_eq!(load, Load::default());
+    assert_eq!(load, LoadReport::default());
     let mut host = Host::new(many(), 3);
     for id in 0..300 {
         host.ask(id, 0, 3, 4 * S);
@@ -62,7 +62,7 @@
     for seed in 0..180 {
         // Fresh gateways that know nothing of their own, as after a release; ten servers in a row drain.
         let mut host = Host::seeded(many(), 30, seed * 7_919 + 1);
-        let entries = (10..20).map(|n| Entry { state: Lifecycle::Draining, ..entry(n) }).collect();
+        let entries = (10..20).map(|n| ServerEntry { lifecycle: Lifecycle::Draining, ..entry(n) }).collect();
         host.list(ListKind::Delta, entries);
         host.ask(1, 0, 3, 4 * S);
         got[host.sent(1)[0]] += 1;
@@ -77,14 +77,14 @@
     let (mut warm, mut cold) = (0, 0);
     for seed in 0..60 {
         let mut host =
-            Host::seeded(Settings { gateways: 60, rules: rules(), ..settings() }, 20, seed * 131 + 7);
+            Host::seeded(Settings { gateways: 60, server_rules: rules(), ..settings() }, 20, seed * 131 + 7);
         host.serve = (0..20).collect();
         for id in 0..40 {
             host.ask(id, 0, 3, 4 * S);
             host.wait(200 * MS);
         }
         let (start, sent) = (host.now, host.sends.len());
-        host.list(ListKind::Delta, (10..20).map(|n| Entry { started: start, ..entry(n) }).collect());
+        host.list(ListKind::Delta, (10..20).map(|n| ServerEntry { started_at: start, ..entry(n) }).collect());
         for id in 100..130 {
             host.ask(id, 0, 3, 4 * S);
             host.wait(200 * MS);
@@ -97,16 +97,22 @@
     assert!(share < 1.0, "{cold} to ten cold servers, {warm} to ten warm ones");
 }
 
-fn rules() -> Rules {
-    Rules { cold: 17 * S, cold_from: 0.28, fall: 2 * S, fall_multiple: 3.0, ask_within: 0 }
+fn rules() -> ServerRules {
+    ServerRules {
+        slow_start_duration: 17 * S,
+        initial_capacity: 0.28,
+        overload_duration: 2 * S,
+        overload_factor: 3.0,
+        max_watch_interval: 0,
+    }
 }
 
 #[test]
 fn a_server_that_started_long_before_its_list_came_is_warm() {
     let news = |age: Micros| {
-        let mut host = Host::new(Settings { rules: rules(), gateways: 1, ..settings() }, 10);
+        let mut host = Host::new(Settings { server_rules: rules(), gateways: 1, ..settings() }, 10);
         let start = host.now;
-        let entries = (10..20).map(|n| Entry { started: start - age, ..entry(n) }).collect();
+        let entries = (10..20).map(|n| ServerEntry { started_at: start - age, ..entry(n) }).collect();
         host.list(ListKind::Full, entries);
         for id in 0..5 {
             host.ask(id, 0, 3, 4 * S);
@@ -125,7 +131,15 @@
         host.wait(latency);
         let Some(&server) = host.sent(id).first() else { continue };
         let (attempt, status, closed, load) = (0, Status::Ok, true, report(3.0, 20.0, 0.7));
-        host.give(Event::Outcome(Outcome { id, attempt, server, status, latency, closed, load }));
+        host.give(Event::Outcome(Outcome {
+            id,
+            attempt,
+            server,
+            status,
+            latency,
+            request_done: closed,
+            load,
+        }));
     }
     for id in 100..125 {
         host.ask(id, 0, 3, 8 * S);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -31,16 +31,22 @@
 const SERVERS: usize = 20;
 const STEP: Micros = 20 * MS;
 
-fn rules() -> Rules {
-    Rules { cold: 17 * S, cold_from: 0.28, fall: 2 * S, fall_multiple: 3.0, ask_within: 0 }
+fn rules() -> ServerRules {
+    ServerRules {
+        slow_start_duration: 17 * S,
+        initial_capacity: 0.28,
+        overload_duration: 2 * S,
+        overload_factor: 3.0,
+        max_watch_interval: 0,
+    }
 }
 
 /// Requests that a cold server may get in a window that begins so long after its start, without what chance allows.
 fn allowed(day: &Day, age: Micros) -> f64 {
     let rules = rules();
-    let share = (age as f64 / rules.cold as f64).min(1.0);
-    let warm = rules.cold_from + (1.0 - rules.cold_from) * share;
-    rules.fall_multiple * warm * day.capacity * rules.fall as f64 / S as f64
+    let share = (age as f64 / rules.slow_start_duration as f64).min(1.0);
+    let warm = rules.initial_capacity + (1.0 - rules.initial_capacity) * share;
+    rules.overload_factor * warm * day.capacity * rules.overload_duration as f64 / S as f64
 }
 
 /// A fixed sequence of numbers from 0 to 1.
@@ -56,8 +62,8 @@
 /// Plays a day. Gives what the most burdened cold server got in any window, over N + 2 x root of N + 2, and the
 /// part of the traffic that cold servers got in the last third of the time in which they warm, over their even part.
 fn play(day: Day) -> (f64, f64) {
-    let set = Settings { gateways: day.gateways, rules: rules(), ..settings() };
-    let fresh = |n: u64, now: Micros, list: Vec<Entry>| {
+    let set = Settings { gateways: day.gateways, server_rules: rules(), ..settings() };
+    let fresh = |n: u64, now: Micros, list: Vec<ServerEntry>| {
         let mut host =
             Host::seeded(set.clone(), 0, day.seed.wrapping_add(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
         host.gateway = Gateway::new(set.clone(), (day.seed + n).wrapping_mul(0x9e37_79b9_7f4a_7c15), now);
@@ -66,9 +72,10 @@
         host
     };
     let first_cold = if day.replaced { SERVERS } else { 0 };
-    let whole = |start: Option<Micros>| -> Vec<Entry> {
+    let whole = |start: Option<Micros>| -> Vec<ServerEntry> {
         let old = (0..SERVERS).filter(|n| start.is_none() || *n >= day.cold).map(entry);
-        let cold = start.map(|at| (0..day.cold).map(move |n| Entry { started: at, ..entry(first_cold + n) }));
+        let cold = start
+            .map(|at| (0..day.cold).map(move |n| ServerEntry { started_at: at, ..entry(first_cold + n) }));
         old.chain(cold.into_iter().flatten()).collect()
     };
     let is_cold = |server: usize| (first_cold..first_cold + day.cold).contains(&server);
@@ -80,7 +87,7 @@
         (0..hosts.len()).map(|n| day.uneven.powf(1.0 - 2.0 * n as f64 / hosts.len() as f64)).collect();
     let sum: f64 = shares.iter().sum();
     shares.iter_mut().for_each(|s| *s /= sum);
-    let (warm_up, cold) = (6 * S, rules().cold);
+    let (warm_up, cold) = (6 * S, rules().slow_start_duration);
     let start = begin + warm_up;
     let (mut id, mut made, mut now) = (0u64, hosts.len() as u64, begin);
     let mut seen = vec![0; hosts.len()];
@@ -118,11 +125,11 @@
             for &(at, id, attempt, server) in &host.sends[seen[n]..] {
                 got[server].push(at);
                 let aged = now.saturating_sub(start) as f64 / cold as f64;
-                let warm = rules().cold_from + (1.0 - rules().cold_from) * aged.min(1.0);
+                let warm = rules().initial_capacity + (1.0 - rules().initial_capacity) * aged.min(1.0);
                 let speed = day.capacity * if is_cold(server) && now >= start { warm } else { 1.0 };
                 // One that holds more than a second's work turns away.
                 let (status, done) = if free[server] > at + S {
-                    (Status::Full, at + 5 * MS)
+                    (Status::Declined, at + 5 * MS)
                 } else {
                     free[server] = free[server].max(at) + (S as f64 / speed) as Micros;
                     (Status::Ok, free[server] + 5 * MS)
@@ -135,18 +142,26 @@
         out = rest;
         for (done, n, id, attempt, server, status) in due {
             let lately = got[server].iter().rev().take_while(|at| **at + S > now).count() as f64;
-            let reported = Load {
+            let reported = LoadReport {
                 inflight: Some((free[server].saturating_sub(now) as f64 / S as f64 * day.capacity).ceil()),
                 util: Some((lately / day.capacity).min(1.0)),
                 qps: Some(lately.min(day.capacity)),
-                latency_ms: None,
+                service_time_ms: None,
             };
-            let load = if day.reports { reported } else { Load::default() };
+            let load = if day.reports { reported } else { LoadReport::default() };
             let sent =
                 hosts[n].sends.iter().rev().find(|s| (s.1, s.2) == (id, attempt)).map_or(done, |s| s.0);
             let (latency, closed) = (done - sent, status == Status::Ok);
             hosts[n].now = now;
-            hosts[n].give(Event::Outcome(Outcome { id, attempt, server, status, latency, closed, load }));
+            hosts[n].give(Event::Outcome(Outcome {
+                id,
+                attempt,
+                server,
+                status,
+                latency,
+                request_done: closed,
+                load,
+            }));
         }
     }
     let (mut worst, mut late, mut all) = (0.0f64, 0, 0);
@@ -160,7 +175,8 @@
         // Windows that begin with a send, from when all had been told.
         let told: Vec<Micros> = times.iter().copied().filter(|at| *at >= start + day.late + STEP).collect();
         for (first, at) in told.iter().enumerate() {
-            let count = told[first..].iter().take_while(|t| **t < at + rules().fall).count() as f64;
+            let count =
+                told[first..].iter().take_while(|t| **t < at + rules().overload_duration).count() as f64;
             let n = allowed(&day, at - start);
             worst = worst.max(count / (n + 2.0 * n.sqrt() + 2.0));
         }
--- a/tests/unit/reports.rs
+++ b/tests/unit/reports.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn told(fleet: &mut Fleet, server: &mut Reports, held: f64, qps: f64, util: f64) {
-    let load = Load { inflight: Some(held), util: Some(util), qps: Some(qps), ..Load::default() };
+    let load = LoadReport { inflight: Some(held), util: Some(util), qps: Some(qps), ..LoadReport::default() };
     fleet.take(server, &load, 1_000_000);
 }
 
@@ -31,9 +31,9 @@
 #[test]
 fn a_report_without_use_still_tells_what_is_held() {
     let (mut fleet, mut server) = (Fleet::default(), Reports::default());
-    let load = Load { inflight: Some(9.0), ..Load::default() };
+    let load = LoadReport { inflight: Some(9.0), ..LoadReport::default() };
     fleet.take(&mut server, &load, 0);
     assert!((server.backlog(&fleet, 0) - 9.0).abs() < 1e-9);
-    fleet.take(&mut Reports::default(), &Load::default(), 0);
+    fleet.take(&mut Reports::default(), &LoadReport::default(), 0);
     assert_eq!(Reports::default().backlog(&fleet, 0), 0.0);
 }
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -13,7 +13,7 @@
 
 /// A gateway whose clock is ahead by so much.
 fn gateway(me: u32, ahead: Micros) -> Host {
-    let set = Settings { me, ..settings() };
+    let set = Settings { gateway_index: me, ..settings() };
     let mut host = Host::seeded(set.clone(), 0, u64::from(me) * 97 + 3);
     host.now += 10_000 * S + ahead;
     host.gateway = Gateway::new(set, u64::from(me) * 97 + 3, host.now);
