--- a/scale/src/simulation/engine.rs
+++ b/scale/src/simulation/engine.rs
@@ -47,7 +47,7 @@
     pub(super) busy_until: Micros,
     pub(super) up: bool,
     /// When it last started.
-    pub(super) started: Micros,
+    pub(super) started_at: Micros,
     pub(super) draining: bool,
     /// Attempts per second, as a count that decays with a time constant of one second.
     pub(super) attempt_rate: f64,
@@ -97,7 +97,7 @@
         let server = SimulatedServer {
             busy_until: 0,
             up: true,
-            started: 0,
+            started_at: 0,
             draining: false,
             attempt_rate: 0.0,
             last_attempt: 0,
@@ -133,15 +133,15 @@
     }
 
     /// The full list of servers.
-    fn full_list(&self) -> Vec<Entry> {
+    fn full_list(&self) -> Vec<ServerEntry> {
         (0..self.servers.len()).map(|n| self.list_entry(n)).collect()
     }
 
-    fn list_entry(&self, n: usize) -> Entry {
-        let SimulatedServer { started, draining, .. } = self.servers[n];
-        let state = if draining { Lifecycle::Draining } else { Lifecycle::Ready };
+    fn list_entry(&self, n: usize) -> ServerEntry {
+        let SimulatedServer { started_at, draining, .. } = self.servers[n];
+        let lifecycle = if draining { Lifecycle::Draining } else { Lifecycle::Ready };
         let (zone, cell) = (self.scenario.deployment.zone_of_server(n), (n % 16) as u64);
-        Entry { server: n, zone, cell, state, weight: 1.0, started }
+        ServerEntry { server: n, zone, cell, lifecycle, weight: 1.0, started_at }
     }
 
     /// Adds an event that is dropped if the limiter is killed before it is due.
@@ -158,7 +158,7 @@
             SimulationEvent::RequestArrival => self.receive_request(),
             SimulationEvent::Timer(n) if alive(n, self) => self.deliver(n, Event::Timer { token: 0 }),
             SimulationEvent::AttemptEnds(n, outcome) if alive(n, self) => {
-                if outcome.closed {
+                if outcome.request_done {
                     if let Some(request) = self.limiters[n].open_requests.remove(&outcome.id) {
                         self.seconds[request.arrival_second].served += 1;
                     }
@@ -204,15 +204,15 @@
                 }
                 Action::Count { name, amount, .. } => self.call_counter(n, name, amount),
                 Action::Watch => self.call_discovery(n),
-                Action::Cancel { .. } | Action::Tell { .. } => {}
+                Action::Cancel { .. } | Action::SendToPeer { .. } => {}
             }
         }
     }
 
     /// Starts a limiter, for the first time or again, with a cached list that is up to date.
     pub(super) fn start_limiter(&mut self, n: usize) {
-        let setup = Setup::read(&self.scenario.deployment.limiter_settings(n as u32));
-        let settings = setup.expect("the generated settings are valid").settings;
+        let host_settings = HostSettings::from_json(&self.scenario.deployment.limiter_settings(n as u32));
+        let settings = host_settings.expect("the generated settings are valid").settings;
         let seed = self.random.random();
         let gateway = Gateway::new(settings, seed, self.now);
         match self.limiters.get_mut(n) {
@@ -242,7 +242,7 @@
 
     /// Pushes the entries of some servers to all limiters that are subscribed to discovery.
     pub(super) fn push_changes(&mut self, servers: &[usize]) {
-        let entries: Vec<Entry> = servers.iter().map(|n| self.list_entry(*n)).collect();
+        let entries: Vec<ServerEntry> = servers.iter().map(|n| self.list_entry(*n)).collect();
         for n in 0..self.limiters.len() {
             if self.limiters[n].up && self.limiters[n].subscribed {
                 self.deliver(n, Event::Servers { kind: ListKind::Delta, entries: entries.clone() });
@@ -270,12 +270,12 @@
         self.events.push(next, 0, SimulationEvent::RequestArrival);
         let limiters = self.limiters.len() as u32;
         let customer = self.random.random_range(0..self.scenario.customers);
-        let spread = LIMITERS_PER_CUSTOMER.min(limiters);
-        let first = (customer % u64::from(limiters)) as u32;
+        let gateways = LIMITERS_PER_CUSTOMER.min(limiters);
+        let first_gateway = (customer % u64::from(limiters)) as u32;
         // The square gives the customer's first limiter the largest share.
-        let preferred = ((self.random.random::<f64>().powi(2)) * f64::from(spread)) as u32;
-        let Some(n) = (preferred..preferred + spread)
-            .map(|offset| ((first + offset % spread) % limiters) as usize)
+        let preferred = ((self.random.random::<f64>().powi(2)) * f64::from(gateways)) as u32;
+        let Some(n) = (preferred..preferred + gateways)
+            .map(|offset| ((first_gateway + offset % gateways) % limiters) as usize)
             .find(|n| self.limiters[*n].up)
         else {
             return;
@@ -283,10 +283,11 @@
         self.last_id += 1;
         self.counts().offered += 1;
         let id = self.last_id;
-        let request = OpenRequest { attempts: 0, arrival_second: self.current_second() };
-        self.limiters[n].open_requests.insert(id, request);
-        let (customer, left) = (format!("{customer:016x}"), DEADLINE_MS * MS);
-        let demand = Demand { id, class: 0, plan: 0, customer, left, units: 1.0, spread, first };
-        self.deliver(n, Event::Request(demand));
+        let open_request = OpenRequest { attempts: 0, arrival_second: self.current_second() };
+        self.limiters[n].open_requests.insert(id, open_request);
+        let (customer, time_left) = (format!("{customer:016x}"), DEADLINE_MS * MS);
+        let request =
+            ClientRequest { id, class: 0, plan: 0, customer, time_left, units: 1.0, gateways, first_gateway };
+        self.deliver(n, Event::Request(request));
     }
 }
--- a/scale/src/simulation/faults.rs
+++ b/scale/src/simulation/faults.rs
@@ -55,7 +55,7 @@
         for n in &restarted {
             let server = &mut self.servers[*n];
             server.up = true;
-            server.started = self.now;
+            server.started_at = self.now;
             server.busy_until = self.now;
         }
         if !restarted.is_empty() {
--- a/scale/src/simulation/network.rs
+++ b/scale/src/simulation/network.rs
@@ -79,25 +79,25 @@
         let (status, done) = if !state.up || is_partitioned {
             (Status::ConnectFailed, now + CONNECT_TIMEOUT)
         } else if state.busy_until > received + MAX_BACKLOG {
-            (Status::Full, received + latency)
+            (Status::Declined, received + latency)
         } else {
             state.busy_until = state.busy_until.max(received) + (SECOND as f64 / capacity) as Micros;
             (Status::Ok, state.busy_until + latency)
         };
         state.count_attempt(now);
         let load = if status == Status::ConnectFailed {
-            Load::default()
+            LoadReport::default()
         } else {
             let backlog = state.busy_until.saturating_sub(received) as f64;
-            Load {
+            LoadReport {
                 inflight: Some((backlog * capacity / SECOND as f64).ceil()),
                 util: Some((state.attempt_rate / capacity).min(1.0)),
                 qps: Some(state.attempt_rate.min(capacity)),
-                latency_ms: None,
+                service_time_ms: None,
             }
         };
-        let (latency, closed) = (done - self.now, status == Status::Ok);
-        let outcome = Outcome { id, attempt, server, status, latency, closed, load };
+        let (latency, request_done) = (done - self.now, status == Status::Ok);
+        let outcome = Outcome { id, attempt, server, status, latency, request_done, load };
         self.push_for_limiter(done, n, SimulationEvent::AttemptEnds(n, outcome));
     }
 
