--- a/scale/src/deployment.rs
+++ b/scale/src/deployment.rs
@@ -4,11 +4,14 @@
 
 /// Deadline of a request, in milliseconds.
 pub const DEADLINE_MS: u64 = 6_000;
-/// Objective of the class: an answer within this time earns its full worth, in milliseconds.
+/// Objective of the class: an answer within this time has its full value, in milliseconds.
 pub const OBJECTIVE_MS: u64 = 600;
 /// Most limiters through which the requests of one customer arrive.
 pub const LIMITERS_PER_CUSTOMER: u32 = 3;
 
+/// Number of cells over which servers are distributed.
+const CELLS: usize = 16;
+
 /// Size and topology of a deployment.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Deployment {
@@ -40,12 +43,17 @@
         server % self.zone_count()
     }
 
+    /// Cell of a server.
+    pub fn cell_of_server(&self, server: usize) -> usize {
+        server % CELLS
+    }
+
     /// Zone of a limiter.
     pub fn zone_of_limiter(&self, limiter: usize) -> usize {
         limiter % self.zone_count()
     }
 
-    /// The settings object of one limiter.
+    /// The settings object of one limiter. Times are in microseconds.
     pub fn limiter_settings(&self, limiter: u32) -> Value {
         let zones: Vec<String> = (0..self.zone_count()).map(Self::zone_name).collect();
         let zone = Self::zone_name(self.zone_of_limiter(limiter as usize));
@@ -68,7 +76,7 @@
         let zone = Self::zone_name(self.zone_of_server(server));
         format!(
             r#"{{"host":"s-{server:08x}","dial":"{address}","site":"{zone}","class":"m","block":{},"health":"{health}","share":1.0,"born_ms":0}}"#,
-            server % 16
+            self.cell_of_server(server)
         )
     }
 }
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -68,7 +68,7 @@
         /// Number of requests in each run.
         #[arg(long, default_value_t = 300, value_parser = clap::value_parser!(u64).range(1..=10_000_000))]
         requests: u64,
-        /// Pause after each answer, in milliseconds; a limiter has eight clients, and each of them pauses.
+        /// Pause of a client after each answer, in milliseconds; each limiter has eight clients.
         #[arg(long = "pause", value_name = "PAUSE", default_value_t = real::DEFAULT_PAUSE_MS, value_parser = clap::value_parser!(u64).range(1..=60_000))]
         pause_ms: u64,
         /// Path of the limiter's program [default: limeway in the directory of this program].
@@ -101,7 +101,7 @@
         /// What fails during the middle third of the simulated time.
         #[arg(long, value_enum, default_value = "none")]
         fault: Fault,
-        /// Limiters request the list from discovery and watch it; otherwise it is pushed to them.
+        /// Limiters request the list of servers from discovery; otherwise it is pushed to them.
         #[arg(long = "ask")]
         watch_discovery: bool,
         /// Number of regions, of two zones each.
@@ -335,7 +335,7 @@
     Ok(())
 }
 
-/// A scenario without a fault, in which lists are pushed.
+/// A scenario without a fault, in which the list of servers is pushed to the limiters.
 fn scenario(limiters: u32, servers: usize, regions: usize, seed: u64) -> Scenario {
     let deployment = Deployment { limiters, servers, regions, zones_per_region: 2, watch_discovery: false };
     Scenario {
@@ -389,7 +389,7 @@
         let measurement = measurement(&program, sizes, 600, seed);
         run_measurement(report, &measurement, "limiters", f64::from(limiters))?;
     }
-    // A simulation of the size of one of the measurements, to compare the model with real processes.
+    // A simulation as large as the measurement of ten real limiters, to compare the model with real processes.
     let comparison = Scenario {
         requests_per_second: 300.0,
         customers: 100,
--- a/scale/src/simulation.rs
+++ b/scale/src/simulation.rs
@@ -22,7 +22,7 @@
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// Start of the simulated time on the module's clock. Servers start at 0, so long before it.
+/// Start of the simulated time on the module's clock. The start of the servers, at 0, has to lie before it.
 const START: Micros = 100 * SECOND;
 
 /// A failure during the middle third of the simulated time.
--- a/scale/src/simulation/engine.rs
+++ b/scale/src/simulation/engine.rs
@@ -140,7 +140,8 @@
     fn list_entry(&self, n: usize) -> ServerEntry {
         let SimulatedServer { started_at, draining, .. } = self.servers[n];
         let lifecycle = if draining { Lifecycle::Draining } else { Lifecycle::Ready };
-        let (zone, cell) = (self.scenario.deployment.zone_of_server(n), (n % 16) as u64);
+        let zone = self.scenario.deployment.zone_of_server(n);
+        let cell = self.scenario.deployment.cell_of_server(n) as u64;
         ServerEntry { server: n, zone, cell, lifecycle, weight: 1.0, started_at }
     }
 
@@ -180,6 +181,7 @@
             SimulationEvent::FaultBegins => self.begin_fault(),
             SimulationEvent::FaultEnds => self.end_fault(),
             SimulationEvent::LimiterRestart(n) => self.start_limiter(n),
+            // Meant for an earlier incarnation of a limiter, or for one that is down.
             _ => {}
         }
     }
--- a/scale/src/soak/request_log.rs
+++ b/scale/src/soak/request_log.rs
@@ -1,8 +1,7 @@
 //! Record of all requests of a run: what was sent, which servers received it and how it ended. From it follows which
 //! rules were broken.
 //!
-//! Each limit below is the sum of the time that the specification allows and an allowance for inaccuracies of the
-//! measurement.
+//! The last term of each grace period below is an allowance for inaccuracies of the measurement.
 
 use std::cell::RefCell;
 use std::fmt;
--- a/scale/tests/hollow.rs
+++ b/scale/tests/hollow.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn calls_per_request_do_not_grow_with_the_number_of_limiters_or_servers() {
+fn calls_per_request_stay_low_for_any_number_of_limiters_and_servers() {
     for (limiters, servers) in [(10, 24), (40, 24), (120, 24), (20, 60)] {
         let counts = counts(scenario(limiters, servers));
         let message = format!("{limiters} limiters, {servers} servers: {counts:?}");
@@ -42,10 +42,10 @@
     }
 }
 
-/// Guards against limiters that retry discovery in step: each backs off alone, but together they could flood discovery
-/// in one second as it comes back.
+/// Guards against limiters that retry in step while discovery is down: their calls add up, and many in one second could
+/// overload it. Each limiter retries about every two seconds.
 #[test]
-fn discovery_calls_are_spread_over_two_seconds_while_discovery_is_down() {
+fn limiters_retry_discovery_every_two_seconds_and_not_in_step_while_it_is_down() {
     for limiters in [120, 240] {
         let counts = counts(Scenario { fault: Fault::Discovery, ..scenario(limiters, 24) });
         let worst = counts["list_calls_worst_s"] / f64::from(limiters);
