--- a/scale/src/limiter.rs
+++ b/scale/src/limiter.rs
@@ -83,7 +83,7 @@
         limits: ResourceLimits,
         settings: Value,
     ) -> io::Result<Self> {
-        // Reserves a free port; nothing listens on it until the limiter does.
+        // Finds a free port. Another process could take it before the limiter listens there; the start would then fail.
         let listener = std::net::TcpListener::bind((IpAddr::from([127, 0, 0, 1]), 0))?;
         let address = listener.local_addr()?;
         drop(listener);
--- a/scale/src/soak.rs
+++ b/scale/src/soak.rs
@@ -41,7 +41,7 @@
 const KILL_DELAY: Duration = Duration::from_millis(700);
 /// Most of the deadline that counts towards the delay before SIGKILL.
 const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
-/// A restarted limiter that is not ready after this time counts as failed.
+/// A limiter that is not ready this long after its start counts as failed.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time for which a limiter is paused now and then (from the fleet specification), in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 20..150;
