--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts pondgw gateways on the bench's line protocol, read from standard input.
+//! Runs pondgw gateways for the simulator, over its line protocol on standard input and output.
 #![forbid(unsafe_code)]
 
 mod wire;
@@ -10,14 +10,14 @@
     let mut host = wire::Host::default();
     let mut out = io::stdout().lock();
     for (number, line) in (1..).zip(io::stdin().lock().lines()) {
-        let handled = line.map_err(|e| e.to_string()).and_then(|text| host.line(&text));
-        let sent = handled.and_then(|reply| match reply {
+        let handled = line.map_err(|e| e.to_string()).and_then(|text| host.handle_line(&text));
+        let written = handled.and_then(|reply| match reply {
             Some(reply) => {
                 out.write_all(reply.as_bytes()).and_then(|()| out.flush()).map_err(|e| e.to_string())
             }
             None => Ok(()),
         });
-        if let Err(reason) = sent {
+        if let Err(reason) = written {
             eprintln!("pondgw-simhost: line {number}: {reason}");
             return ExitCode::FAILURE;
         }
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -1,4 +1,4 @@
-//! Parses the wire's lines into events and writes actions back; it decides nothing.
+//! The simulator's line protocol: parses lines into events and writes actions as lines. Without decisions.
 
 use base64::prelude::*;
 use pondgw::*;
@@ -8,74 +8,86 @@
 use std::rc::Rc;
 use std::str::FromStr;
 
-/// One gateway with the names that its wire uses for indices.
+/// A gateway, with the names that the protocol uses in place of its indices.
 struct Instance {
     gateway: Gateway,
     classes: Vec<String>,
     plans: Vec<String>,
     zones: Vec<String>,
     servers: Vec<String>,
-    index: HashMap<String, ServerId>,
+    server_ids: HashMap<String, ServerId>,
 }
 
-struct Row {
+/// A server of a list that several gateways may share, so zone and server are still names.
+struct ListedServer {
     server: String,
     zone: String,
     cell: u64,
-    state: Lifecycle,
+    lifecycle: Lifecycle,
     weight: f64,
-    started: Micros,
+    started_at: Micros,
 }
 
-/// All instances of this process, and the batch being read.
+/// A list of servers that is being read.
+struct PartialList {
+    number: u64,
+    missing: usize,
+    servers: Vec<ListedServer>,
+}
+
+/// All gateways of this process, and the batch that is being read.
 #[derive(Default)]
 pub struct Host {
     now: Micros,
     in_batch: bool,
     instances: HashMap<String, Instance>,
-    lists: HashMap<u64, Rc<Vec<Row>>>,
-    reading: Option<(u64, usize, Vec<Row>)>,
+    /// Lists of servers by number, which a gateway gets by reference.
+    lists: HashMap<u64, Rc<Vec<ListedServer>>>,
+    partial_list: Option<PartialList>,
     actions: Vec<Action>,
     reply: String,
 }
 
 type Parsed<T> = Result<T, String>;
 
-struct Words<'a>(&'a str);
+/// The rest of a line, which is read column by column. `column` names the column in error messages.
+struct Columns<'a>(&'a str);
 
-impl<'a> Words<'a> {
-    fn word(&mut self, what: &str) -> Parsed<&'a str> {
-        let (head, rest) = self.0.split_once(' ').unwrap_or((self.0, ""));
+impl<'a> Columns<'a> {
+    fn word(&mut self, column: &str) -> Parsed<&'a str> {
+        let (word, rest) = self.0.split_once(' ').unwrap_or((self.0, ""));
         self.0 = rest;
-        if head.is_empty() {
-            return Err(format!("{what} is missing"));
+        if word.is_empty() {
+            return Err(format!("{column} is missing"));
         }
-        Ok(head)
+        Ok(word)
     }
 
-    fn value<T: FromStr>(&mut self, what: &str) -> Parsed<T> {
-        let word = self.word(what)?;
-        word.parse().map_err(|_| format!("{what} is not valid: {word}"))
+    fn value<T: FromStr>(&mut self, column: &str) -> Parsed<T> {
+        let word = self.word(column)?;
+        word.parse().map_err(|_| format!("{column} is not valid: {word}"))
     }
 
-    fn value_or<T: FromStr>(&mut self, what: &str, absent: T) -> Parsed<T> {
-        match self.word(what)? {
-            "-" => Ok(absent),
-            word => word.parse().map_err(|_| format!("{what} is not valid: {word}")),
+    /// A value, or this default if the column is "-".
+    fn value_or<T: FromStr>(&mut self, column: &str, default: T) -> Parsed<T> {
+        match self.word(column)? {
+            "-" => Ok(default),
+            word => word.parse().map_err(|_| format!("{column} is not valid: {word}")),
         }
     }
 
-    fn number(&mut self, what: &str) -> Parsed<f64> {
-        let value: f64 = self.value_or(what, 0.0)?;
+    /// A finite number, or 0 if the column is "-".
+    fn number(&mut self, column: &str) -> Parsed<f64> {
+        let value: f64 = self.value_or(column, 0.0)?;
         if value.is_finite() {
             Ok(value)
         } else {
-            Err(format!("{what} is not finite"))
+            Err(format!("{column} is not finite"))
         }
     }
 }
 
-fn status(word: &str) -> Parsed<Status> {
+fn parse_status(word: &str) -> Parsed<Status> {
     Ok(match word {
         "OK" => Status::Ok,
         "INTERNAL" => Status::Error,
@@ -89,31 +101,33 @@
     })
 }
 
-fn load(word: &str) -> Parsed<LoadReport> {
-    let mut load = LoadReport::default();
-    for pair in word.split(',').filter(|p| !p.is_empty() && *p != "-") {
+fn parse_load_report(text: &str) -> Parsed<LoadReport> {
+    let mut report = LoadReport::default();
+    for pair in text.split(',').filter(|p| !p.is_empty() && *p != "-") {
         let (name, value) =
             pair.split_once(':').ok_or_else(|| format!("load report is not valid: {pair}"))?;
         let value: f64 = value.parse().map_err(|_| format!("load report is not valid: {pair}"))?;
-        load.set_metric(name, value);
+        report.set_metric(name, value);
     }
-    Ok(load)
+    Ok(report)
 }
 
-fn find(names: &[String], name: &str, what: &str) -> Parsed<usize> {
+fn index_of(names: &[String], name: &str, what: &str) -> Parsed<usize> {
     names.iter().position(|n| n == name).ok_or_else(|| format!("unknown {what}: {name}"))
 }
 
 impl Instance {
-    fn server(&mut self, name: &str) -> ServerId {
-        if let Some(&id) = self.index.get(name) {
+    /// The server's id; a new one if the name is not yet known.
+    fn server_id(&mut self, name: &str) -> ServerId {
+        if let Some(&id) = self.server_ids.get(name) {
             return id;
         }
         self.servers.push(name.to_owned());
-        self.index.insert(name.to_owned(), self.servers.len() - 1);
+        self.server_ids.insert(name.to_owned(), self.servers.len() - 1);
         self.servers.len() - 1
     }
 
+    /// The zone's index; a new one if the name is not yet known.
     fn zone(&mut self, name: &str) -> usize {
         self.zones.iter().position(|z| z == name).unwrap_or_else(|| {
             self.zones.push(name.to_owned());
@@ -121,89 +135,86 @@
         })
     }
 
-    fn event(
+    /// Parses a line into an event; `None` if it is about a server that the gateway was never told of.
+    fn parse_event(
         &mut self,
-        kind: &str,
-        w: &mut Words,
-        lists: &HashMap<u64, Rc<Vec<Row>>>,
+        message: &str,
+        columns: &mut Columns,
+        lists: &HashMap<u64, Rc<Vec<ListedServer>>>,
     ) -> Parsed<Option<Event>> {
-        Ok(Some(match kind {
+        Ok(Some(match message {
             "FLEET" => {
-                let kind = match w.word("how")? {
+                let kind = match columns.word("how")? {
                     "0" => ListKind::Delta,
                     "1" => ListKind::Full,
                     "2" => ListKind::Cached,
                     "3" => ListKind::Failed,
                     other => return Err(format!("unknown kind of list: {other}")),
                 };
-                w.word("revision")?;
+                columns.word("revision")?;
                 let mut entries = Vec::new();
                 if kind != ListKind::Failed {
-                    let number = w.value("ref")?;
+                    let number = columns.value("ref")?;
                     let list = lists.get(&number).ok_or_else(|| format!("no list {number}"))?.clone();
-                    for row in list.iter() {
+                    for listed in list.iter() {
                         entries.push(ServerEntry {
-                            server: self.server(&row.server),
-                            zone: self.zone(&row.zone),
-                            cell: row.cell,
-                            lifecycle: row.state,
-                            weight: row.weight,
-                            started_at: row.started,
+                            server: self.server_id(&listed.server),
+                            zone: self.zone(&listed.zone),
+                            cell: listed.cell,
+                            lifecycle: listed.lifecycle,
+                            weight: listed.weight,
+                            started_at: listed.started_at,
                         });
                     }
                 }
                 Event::Servers { kind, entries }
             }
             "DEMAND" => Event::Request(ClientRequest {
-                id: w.value("call")?,
-                class: find(&self.classes, w.word("priority")?, "class")?,
-                plan: find(&self.plans, w.word("contract")?, "plan")?,
-                customer: w.word("member")?.to_owned(),
-                time_left: w.value("budget")?,
-                units: w.number("units")?,
-                gateways: w.value_or("doors", 1)?,
-                first_gateway: w.value_or("set-from", 0)?,
+                id: columns.value("call")?,
+                class: index_of(&self.classes, columns.word("priority")?, "class")?,
+                plan: index_of(&self.plans, columns.word("contract")?, "plan")?,
+                customer: columns.word("member")?.to_owned(),
+                time_left: columns.value("budget")?,
+                units: columns.number("units")?,
+                gateways: columns.value_or("doors", 1)?,
+                first_gateway: columns.value_or("set-from", 0)?,
             }),
-            "BELL" => Event::Timer { token: w.value("tag")? },
+            "BELL" => Event::Timer { token: columns.value("tag")? },
             "DONE" => {
-                let (id, attempt) = (w.value("call")?, w.value("attempt")?);
-                let server = match self.index.get(w.word("server")?) {
+                let (id, attempt) = (columns.value("call")?, columns.value("attempt")?);
+                let server = match self.server_ids.get(columns.word("server")?) {
                     Some(&server) => server,
                     None => return Ok(None),
                 };
-                let (status, latency) = (status(w.word("reason")?)?, w.value_or("spent", 0)?);
-                let closed = w.word("last")? == "1";
-                w.word("usage")?;
-                w.word("billed")?;
-                Event::Outcome(Outcome {
-                    id,
-                    attempt,
-                    server,
-                    status,
-                    latency,
-                    request_done: closed,
-                    load: load(w.0)?,
-                })
+                let status = parse_status(columns.word("reason")?)?;
+                let latency = columns.value_or("spent", 0)?;
+                let request_done = columns.word("last")? == "1";
+                columns.word("usage")?;
+                columns.word("billed")?;
+                let load = parse_load_report(columns.0)?;
+                Event::Outcome(Outcome { id, attempt, server, status, latency, request_done, load })
             }
-            "STARTED" => Event::StreamStarted { id: w.value("call")?, attempt: w.value("attempt")? },
-            "VANISHED" => Event::ClientGone { id: w.value("call")? },
+            "STARTED" => {
+                Event::StreamStarted { id: columns.value("call")?, attempt: columns.value("attempt")? }
+            }
+            "VANISHED" => Event::ClientGone { id: columns.value("call")? },
             "SUM" => Event::Counted {
-                name: w.value("tally-id")?,
-                status: status(w.word("reason")?)?,
-                total: w.number("value")?,
-                latency: w.value_or("spent", 0)?,
+                name: columns.value("tally-id")?,
+                status: parse_status(columns.word("reason")?)?,
+                total: columns.number("value")?,
+                latency: columns.value_or("spent", 0)?,
             },
             "HEALTH_RESULT" => {
-                w.word("spent")?;
-                let status = status(w.word("reason")?)?;
-                match self.index.get(w.word("server")?) {
+                columns.word("spent")?;
+                let status = parse_status(columns.word("reason")?)?;
+                match self.server_ids.get(columns.word("server")?) {
                     Some(&server) => Event::Probed { server, status },
                     None => return Ok(None),
                 }
             }
             "PEER" => {
-                let from = w.value("sender")?;
-                let data = match w.word("payload")? {
+                let from = columns.value("sender")?;
+                let data = match columns.word("payload")? {
                     "-" => Vec::new(),
                     text => {
                         BASE64_STANDARD.decode(text).map_err(|e| format!("payload is not base64: {e}"))?
@@ -215,120 +226,133 @@
         }))
     }
 
-    fn write(&self, name: &str, action: &Action, to: &mut String) {
-        let done = match *action {
+    /// Appends an action of the gateway with this name as a line to the reply.
+    fn write_action(&self, name: &str, action: &Action, reply: &mut String) {
+        let result = match *action {
             Action::Send { id, server, timeout } => {
-                writeln!(to, "SUBMIT_TO {name} {id} {} {timeout}", self.servers[server])
+                writeln!(reply, "SUBMIT_TO {name} {id} {} {timeout}", self.servers[server])
+            }
+            Action::Cancel { id, attempt } => writeln!(reply, "ABANDON {name} {id} {attempt}"),
+            Action::Refuse { id, retry_after } => writeln!(reply, "NOT_NOW {name} {id} {retry_after}"),
+            Action::Fail { id } => writeln!(reply, "DROP_REQUEST {name} {id}"),
+            Action::Timer { at, token } => writeln!(reply, "WAKE_AT {name} {at} {token}"),
+            Action::Count { name: count, amount, ttl } => {
+                writeln!(reply, "BUMP {name} {count} {amount} {ttl}")
             }
-            Action::Cancel { id, attempt } => writeln!(to, "ABANDON {name} {id} {attempt}"),
-            Action::Refuse { id, retry_after } => writeln!(to, "NOT_NOW {name} {id} {retry_after}"),
-            Action::Fail { id } => writeln!(to, "DROP_REQUEST {name} {id}"),
-            Action::Timer { at, token } => writeln!(to, "WAKE_AT {name} {at} {token}"),
-            Action::Count { name: count, amount, ttl } => writeln!(to, "BUMP {name} {count} {amount} {ttl}"),
             Action::SendToPeer { peer, ref data } => {
-                writeln!(to, "SIGNAL {name} {peer} {}", BASE64_STANDARD.encode(data))
+                writeln!(reply, "SIGNAL {name} {peer} {}", BASE64_STANDARD.encode(data))
             }
-            Action::Watch => writeln!(to, "TRACK {name} 1"),
+            Action::Watch => writeln!(reply, "TRACK {name} 1"),
         };
-        debug_assert!(done.is_ok(), "writing to a string cannot fail");
+        debug_assert!(result.is_ok(), "writing to a string cannot fail");
     }
 }
 
 impl Host {
-    /// Takes one line; gives the reply once a batch is complete.
-    pub fn line(&mut self, line: &str) -> Parsed<Option<String>> {
-        let mut w = Words(line.trim_end_matches('\r'));
-        let kind = w.word("message")?;
-        if let Some((number, left, mut list)) = self.reading.take() {
-            if kind != "SERVER" {
-                return Err(format!("list {number} lacks {left} entries"));
-            }
-            list.push(row(&mut w)?);
-            if left > 1 {
-                self.reading = Some((number, left - 1, list));
-            } else {
-                self.lists.insert(number, Rc::new(list));
-            }
+    /// Handles a line; returns the reply after the last line of a batch.
+    pub fn handle_line(&mut self, line: &str) -> Parsed<Option<String>> {
+        let mut columns = Columns(line.trim_end_matches('\r'));
+        let message = columns.word("message")?;
+        if let Some(list) = self.partial_list.take() {
+            self.add_to_list(list, message, &mut columns)?;
             return Ok(None);
         }
-        if kind == "BEGIN_BATCH" {
+        if message == "BEGIN_BATCH" {
             if self.in_batch {
                 return Err("a batch begins within a batch".into());
             }
-            self.now = w.value("clock")?;
+            self.now = columns.value("clock")?;
             self.in_batch = true;
             return Ok(None);
         }
         if !self.in_batch {
-            return Err(format!("outside a batch: {kind}"));
+            return Err(format!("outside a batch: {message}"));
         }
-        match kind {
+        match message {
             "OVER_TO_YOU" => {
                 self.in_batch = false;
                 self.reply.push_str("END\n");
                 return Ok(Some(std::mem::take(&mut self.reply)));
             }
             "LEDGER" => {
-                let (number, count) = (w.value("ref")?, w.value("entries")?);
+                let (number, count) = (columns.value("ref")?, columns.value("entries")?);
                 if count == 0 {
                     self.lists.insert(number, Rc::default());
                 } else {
-                    self.reading = Some((number, count, Vec::new()));
+                    self.partial_list = Some(PartialList { number, missing: count, servers: Vec::new() });
                 }
                 return Ok(None);
             }
             _ => {}
         }
-        let name = w.word("limiter-id")?;
-        match kind {
-            "BEGIN" => {
-                let seed = w.value("init-seed")?;
-                let json: Value =
-                    serde_json::from_str(w.0).map_err(|e| format!("setup is not valid: {e}"))?;
-                let setup = HostSettings::from_json(&json).map_err(|e| e.reason)?;
-                let instance = Instance {
-                    gateway: Gateway::new(setup.settings, seed, self.now),
-                    classes: setup.classes,
-                    plans: setup.plans,
-                    zones: setup.zones,
-                    servers: Vec::new(),
-                    index: HashMap::new(),
-                };
-                self.instances.insert(name.to_owned(), instance);
-            }
+        let name = columns.word("limiter-id")?;
+        match message {
+            "BEGIN" => self.create_instance(name, &mut columns)?,
             "DETACH" => {
                 self.instances.remove(name);
             }
             _ => {
                 let Some(instance) = self.instances.get_mut(name) else { return Ok(None) };
-                if let Some(event) = instance.event(kind, &mut w, &self.lists)? {
+                if let Some(event) = instance.parse_event(message, &mut columns, &self.lists)? {
                     instance.gateway.handle(self.now, event, &mut self.actions);
                     for action in self.actions.drain(..) {
-                        instance.write(name, &action, &mut self.reply);
+                        instance.write_action(name, &action, &mut self.reply);
                     }
                 }
             }
         }
         Ok(None)
     }
+
+    /// Adds a server to the list that is being read, which ends with as many servers as announced.
+    fn add_to_list(&mut self, mut list: PartialList, message: &str, columns: &mut Columns) -> Parsed<()> {
+        if message != "SERVER" {
+            return Err(format!("list {} lacks {} entries", list.number, list.missing));
+        }
+        list.servers.push(parse_server(columns)?);
+        if list.missing > 1 {
+            list.missing -= 1;
+            self.partial_list = Some(list);
+        } else {
+            self.lists.insert(list.number, Rc::new(list.servers));
+        }
+        Ok(())
+    }
+
+    /// Creates a gateway from its seed and its settings object, which is the rest of the line.
+    fn create_instance(&mut self, name: &str, columns: &mut Columns) -> Parsed<()> {
+        let seed = columns.value("init-seed")?;
+        let json: Value = serde_json::from_str(columns.0).map_err(|e| format!("setup is not valid: {e}"))?;
+        let settings = HostSettings::from_json(&json).map_err(|e| e.reason)?;
+        let instance = Instance {
+            gateway: Gateway::new(settings.settings, seed, self.now),
+            classes: settings.classes,
+            plans: settings.plans,
+            zones: settings.zones,
+            servers: Vec::new(),
+            server_ids: HashMap::new(),
+        };
+        self.instances.insert(name.to_owned(), instance);
+        Ok(())
+    }
 }
 
-fn row(w: &mut Words) -> Parsed<Row> {
-    let (server, zone) = (w.word("server")?.to_owned(), w.word("zone")?.to_owned());
-    w.word("generation-hw")?;
-    let cell = w.value_or("bay", 0)?;
-    let state = match w.word("lifecycle")? {
+fn parse_server(columns: &mut Columns) -> Parsed<ListedServer> {
+    let (server, zone) = (columns.word("server")?.to_owned(), columns.word("zone")?.to_owned());
+    columns.word("generation-hw")?;
+    let cell = columns.value_or("bay", 0)?;
+    let lifecycle = match columns.word("lifecycle")? {
         "0" => Lifecycle::Removed,
         "1" => Lifecycle::Ready,
         "2" => Lifecycle::Draining,
         other => return Err(format!("unknown lifecycle: {other}")),
     };
-    Ok(Row {
+    Ok(ListedServer {
         server,
         zone,
         cell,
-        state,
-        weight: w.value_or("power-hint", 1.0)?,
-        started: w.value_or("launched", 0)?,
+        lifecycle,
+        weight: columns.value_or("power-hint", 1.0)?,
+        started_at: columns.value_or("launched", 0)?,
     })
 }
