--- a/src/interface.rs
+++ b/src/interface.rs
@@ -92,7 +92,7 @@
     pub call_timeout: Micros,
 }
 
-/// What the site states about its servers and discovery, and the gateway must respect.
+/// Properties of the site's servers and discovery that the gateway must respect.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerRules {
     /// A cold server is warm this long after its start, at the latest.
@@ -101,7 +101,7 @@
     pub initial_capacity: f64,
     /// A cold server fails when it is overloaded for this long.
     pub overload_duration: Micros,
-    /// Multiple of its present capacity at which a cold server counts as overloaded.
+    /// Multiple of its current capacity at which a cold server counts as overloaded.
     pub overload_factor: f64,
     /// Longest time between two watch calls where discovery requires them. The gateway does not use it.
     pub max_watch_interval: Micros,
@@ -130,7 +130,7 @@
     pub permissions: Permissions,
     /// The counter service; `None` if there is none.
     pub counter: Option<CounterSettings>,
-    /// What the site states about its servers.
+    /// Properties of the servers and discovery.
     pub server_rules: ServerRules,
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! The decisions of a quota gateway, as a state machine without I/O.
 //!
 //! A [`Gateway`] enforces global quotas per customer by escrow leasing: it leases small blocks of a
-//! customer's budget for the present window from a shared counter and spends them locally. What is left of
+//! customer's budget for the current window from a shared counter and spends them locally. What is left of
 //! a lease at the end of the window is forfeited. When its escrow is used up and the counter does not
 //! answer, it lets requests through on credit up to its own share of the quota and refuses the rest. It
 //! also selects servers, tracks their health and decides on further attempts. It never reads a clock or a
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -158,7 +158,7 @@
     }
 
     fn next_random(&mut self) -> u64 {
-        self.rng_state = self.rng_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+        self.rng_state = lcg_step(self.rng_state);
         self.rng_state >> 33
     }
 
@@ -209,6 +209,7 @@
     fn on_request(&mut self, request: ClientRequest, out: &mut Vec<Action>) {
         let ClientRequest { id, class, plan, customer, time_left, units, gateways, first_gateway } = request;
         let key = stable_hash(customer.as_bytes(), plan as u64);
+        // All gateways of the customer must find the same lease owner among them.
         let index_of_owner = u64::from(first_gateway) + key % u64::from(gateways.max(1));
         let owner = (index_of_owner % u64::from(self.settings.gateways.max(1))) as u32;
         let gateway_index = self.settings.gateway_index;
--- a/src/rules/counter_pace.rs
+++ b/src/rules/counter_pace.rs
@@ -168,7 +168,7 @@
             self.call_rate *= SLOW_FACTOR;
         } else {
             let recovery = (self.rate_after_loss - self.call_rate).max(0.0) * RECOVERY;
-            // While the present rate is not used up, answers do not show that the counter can take more.
+            // While the current rate is not used up, answers do not show that the counter can take more.
             if self.calls.level < self.max_saved_calls() / 2.0 {
                 let increase = if self.lowered_at == 0 { INITIAL_RATE_INCREASE } else { RATE_INCREASE };
                 self.call_rate += recovery.max(increase);
--- a/src/rules/ejection.rs
+++ b/src/rules/ejection.rs
@@ -3,11 +3,11 @@
 use super::concurrency::{LATENCY_TARGET, LOWERING_INTERVAL, MAX_LOWERING_FACTOR};
 use super::*;
 
-/// Mean latencies without an answer after which a server counts as silent, whatever is in progress there.
+/// Mean latencies without an answer after which a server counts as silent, with many attempts in progress.
 const SILENCE_BASE: f64 = 2.0;
-/// Mean latencies that are added to this, divided by the number of attempts in progress: with more attempts,
-/// an answer is due sooner.
-const SILENCE_PER_ATTEMPT: f64 = 6.0;
+/// Mean latencies that are added to this after division by the number of attempts in progress: the more
+/// attempts, the sooner an answer is due.
+const SILENCE_EXTRA: f64 = 6.0;
 /// Duration of the first ejection of a server, in microseconds; it doubles with each further one.
 pub(super) const MIN_EJECTION: Micros = 1_000_000;
 /// Longest duration of an ejection, in microseconds.
@@ -27,7 +27,7 @@
             let Some(oldest) = s.in_progress.values().min() else { return false };
             let max_silence = mean_latency
                 * s.relative_latency.clamp(1.0, 3.0)
-                * (SILENCE_BASE + SILENCE_PER_ATTEMPT / s.in_progress.len() as f64);
+                * (SILENCE_BASE + SILENCE_EXTRA / s.in_progress.len() as f64);
             now.saturating_sub(s.answered_at.max(*oldest)) as f64 > max_silence
         };
         let mean_slo = self.settings.classes.iter().map(|c| c.slo as f64).sum::<f64>() / classes;
@@ -62,7 +62,7 @@
         self.busy_servers.retain(is_busy);
     }
 
-    /// Lets the timers of these requests expire in the present sweep, so that they move to another server.
+    /// Lets the timers of these requests expire in the current sweep, so that they move to another server.
     fn expire_timers(&mut self, requests: Vec<RequestId>) {
         let now = self.now;
         for id in requests {
--- a/src/rules/escrow.rs
+++ b/src/rules/escrow.rs
@@ -22,7 +22,7 @@
 enum UnitSource {
     /// Granted by the customer's lease owner.
     Grant,
-    /// The escrow of the present window.
+    /// The escrow of the current window.
     Escrow,
     /// This gateway's even share of the quota, without a lease. Added to the count later.
     Credit,
--- a/src/rules/membership.rs
+++ b/src/rules/membership.rs
@@ -6,10 +6,10 @@
 
 /// Backoff after the first failed call to discovery, in microseconds; it doubles with each further one.
 pub(super) const WATCH_BACKOFF_MIN: Micros = 500_000;
-/// Longest backoff after failed calls to discovery, in microseconds. A change must be known here 6 s after it
-/// could be read, whatever became of earlier calls: 1.5 s until a call counts as failed, up to 1.5 times the
-/// longest backoff, and 1.5 s for the answer to the next call. This takes precedence over a low total number
-/// of calls from all gateways.
+/// Longest backoff after failed calls to discovery, in microseconds. A gateway must know a change 6 s after
+/// discovery does, even if earlier calls failed: 1.5 s until a call counts as failed, 1.5 times the longest
+/// backoff, and 1.5 s for the answer to the next call. This requirement takes precedence over limiting the
+/// calls of all gateways together.
 const WATCH_BACKOFF_MAX: Micros = 2_000_000;
 /// Mean delay before a call to discovery, in microseconds for each gateway, because all gateways may start or
 /// be turned away at once.
--- a/src/rules/selection.rs
+++ b/src/rules/selection.rs
@@ -36,9 +36,9 @@
     /// Whether as many attempts are in progress at all servers together as the limits allow.
     fn is_total_limit_reached(&self) -> bool {
         let (sum_of_limits, in_progress) = self.total_load();
-        // Load reports replace the limits of single servers but not the limit over all: a server's report is
-        // seconds old by the time of the next request there, while the answers of all servers together show
-        // an overload at once.
+        // Load reports make up for the sum of the servers' limits, but not for the limit over all servers: a
+        // server's report is seconds old by the time of the next request there, while the answers of all
+        // servers together show an overload at once.
         let limit = if self.fleet_load.has_reports() {
             self.total_limit
         } else {
@@ -49,7 +49,7 @@
     }
 
     /// Selects the server with the lowest cost, which is the number of attempts in progress there relative to
-    /// its speed, among those that may take an attempt of this request. Ties are broken at random.
+    /// its speed, among those that may take an attempt of this request.
     pub(super) fn select_server(&mut self, id: RequestId) -> Option<ServerId> {
         let mut random = self.next_random();
         let request = self.requests.get(&id)?;
@@ -91,9 +91,10 @@
                 (None, _) => candidates.push((cost, server_id)),
             }
         }
+        // Shuffles the candidates on the way, which breaks ties at random.
         let mut best: Option<(f64, ServerId)> = None;
         for n in 0..candidates.len() {
-            random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+            random = lcg_step(random);
             let pick = n + (random >> 33) as usize % (candidates.len() - n);
             candidates.swap(n, pick);
             if best.is_none_or(|b| candidates[n].0 < b.0) {
--- a/src/rules/slow_start.rs
+++ b/src/rules/slow_start.rs
@@ -4,7 +4,7 @@
 use crate::interface::{Micros, ServerRules, SECONDS_PER_MICRO};
 use crate::state::*;
 
-/// Share of the load at which a cold server fails that is used. The rest covers uneven gateways and chance.
+/// Share that is used of the load at which a cold server fails. The rest covers uneven gateways and chance.
 const LOAD_SHARE: f64 = 0.5;
 /// Upper bound on this share for a server that is taken for older than it is.
 const MAX_LOAD_SHARE: f64 = 0.75;
--- a/src/state.rs
+++ b/src/state.rs
@@ -14,6 +14,11 @@
     hasher.finish() >> 1
 }
 
+/// The next state of a linear congruential random number generator, with the multiplier of Knuth's MMIX.
+pub(crate) fn lcg_step(state: u64) -> u64 {
+    state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1)
+}
+
 #[derive(Default)]
 pub(crate) struct TokenBucket {
     pub level: f64,
@@ -76,7 +81,7 @@
     pub escrow: BTreeMap<u64, f64>,
     /// The window whose budget is known to be used up.
     pub exhausted_window: Option<u64>,
-    /// Number of the present window.
+    /// Number of the current window.
     pub window: u64,
     /// The customer's quota as seen from here, less what was spent here and what others added to the count.
     pub quota: TokenBucket,
@@ -84,7 +89,7 @@
     pub quota_share: TokenBucket,
     /// The last known total of the window's count.
     pub total: f64,
-    /// Units spent in the present window.
+    /// Units spent in the current window.
     pub spent: f64,
     /// Units spent in the window before it.
     pub spent_before: f64,
@@ -158,7 +163,7 @@
     pub calls: TokenBucket,
     /// Calls per second that this gateway allows itself.
     pub call_rate: f64,
-    /// The call rate just after it was lowered for the first of the last lost calls.
+    /// The call rate after it was lowered for the first loss of the last series of lost calls.
     pub rate_after_loss: f64,
     /// The last call was lost.
     pub failing: bool,
