--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -135,7 +135,7 @@
         })
     }
 
-    /// Parses a line into an event; `None` if it is about a server that the gateway was never told of.
+    /// Parses a line into an event; `None` if it is about a server that no list has contained.
     fn parse_event(
         &mut self,
         message: &str,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -114,7 +114,7 @@
     pub gateways: u32,
     /// Index of this gateway among them, from 0.
     pub gateway_index: u32,
-    /// Zone of this gateway.
+    /// Zone of this gateway. The gateway does not use it.
     pub zone: usize,
     /// Shortest time between two rounds of events from the host.
     pub tick: Micros,
--- a/src/rules/ejection.rs
+++ b/src/rules/ejection.rs
@@ -8,7 +8,8 @@
 /// Mean latencies that are added to this after division by the number of attempts in progress: the more
 /// attempts, the sooner an answer is due.
 const SILENCE_EXTRA: f64 = 6.0;
-/// Duration of the first ejection of a server, in microseconds; it doubles with each further one.
+/// Duration of the first ejection of a server, in microseconds; it doubles with each further one
+/// until the server answers.
 pub(super) const MIN_EJECTION: Micros = 1_000_000;
 /// Longest duration of an ejection, in microseconds.
 const MAX_EJECTION: Micros = 8_000_000;
--- a/src/rules/membership.rs
+++ b/src/rules/membership.rs
@@ -4,7 +4,8 @@
 use super::ejection::MIN_EJECTION;
 use super::*;
 
-/// Backoff after the first failed call to discovery, in microseconds; it doubles with each further one.
+/// Backoff after the first failed call to discovery, in microseconds; it doubles with each further
+/// one until discovery answers.
 pub(super) const WATCH_BACKOFF_MIN: Micros = 500_000;
 /// Longest backoff after failed calls to discovery, in microseconds. A gateway must know a change 6 s after
 /// discovery does, even if earlier calls failed: 1.5 s until a call counts as failed, 1.5 times the longest
--- a/src/rules/retries.rs
+++ b/src/rules/retries.rs
@@ -6,8 +6,8 @@
 pub(super) const RETRIES_PER_REQUEST: f64 = 0.1;
 /// Upper bound on the retry budget.
 pub(super) const MAX_SAVED_RETRIES: f64 = 10.0;
-/// Longest stall of the process between a decision and the write that carries it out, in microseconds. The
-/// deployment states it.
+/// Longest stall of the process between a decision and the write that carries it out, in microseconds, as
+/// specified for the fleet.
 const MAX_WRITE_DELAY: Micros = 150_000;
 /// Retry-after time for a request that found no server, as a share of its objective.
 const RETRY_AFTER_SHARE: f64 = 0.1;
@@ -77,7 +77,8 @@
         let maybe_executed = request.attempts.iter().find(|a| a.state != AttemptState::NotExecuted);
         let may_repeat = match (class.idempotency, maybe_executed) {
             (_, None) | (Idempotency::Idempotent, _) => true,
-            // The attempt is sent as late as its connection is open, and the servers must still know the key.
+            // The attempt is written only when its connection is open, and the servers must still know the
+            // key by then.
             (Idempotency::Keyed, Some(a)) => {
                 let latest_send =
                     self.now + self.settings.tick + permissions.connect_timeout + MAX_WRITE_DELAY;
@@ -141,7 +142,7 @@
         self.remove_request(id, out);
     }
 
-    /// Refuses a request, with the time after which to retry if clients may be told.
+    /// Refuses a request, with a retry-after time if the permissions allow it.
     pub(super) fn refuse(&mut self, id: RequestId, retry_after: Micros, out: &mut Vec<Action>) {
         let permissions = &self.settings.permissions;
         let retry_after = retry_after.max(MIN_RETRY_AFTER).min(permissions.max_retry_after);
--- a/src/state.rs
+++ b/src/state.rs
@@ -99,7 +99,7 @@
     pub request_units: f64,
     /// The last call to the counter failed.
     pub call_failed: bool,
-    /// When it last sent a request.
+    /// When its last request came, from a client or another gateway.
     pub seen_at: Micros,
     /// Requests that wait for units.
     pub waiting: VecDeque<UnitRequest>,
@@ -113,7 +113,7 @@
     pub denied_until: Micros,
     /// This gateway's even share of the ceiling.
     pub ceiling_share: TokenBucket,
-    /// Requests in progress.
+    /// Its requests in progress at this gateway, including those that wait for a server.
     pub in_progress: f64,
 }
 
