--- a/limeway/src/clients/client_connection.rs
+++ b/limeway/src/clients/client_connection.rs
@@ -6,7 +6,7 @@
 use crate::network::connection;
 use crate::network::http::{self, Body, Head};
 use crate::network::stream_io::{read_some, uninterrupted, write_whole};
-use crate::upstream::attempts::Forward;
+use crate::upstream::attempts::ForwardedRequest;
 use bytes::BytesMut;
 use pondgw::{Demand, Micros};
 use std::io::{self, ErrorKind, Read};
@@ -306,7 +306,7 @@
         core: &Rc<Core>,
         table: &ClientTable,
         name: Vec<u8>,
-        (mut demand, forward): (Demand, Forward),
+        (mut demand, forward): (Demand, ForwardedRequest),
         last: bool,
     ) -> bool {
         // The client counts its time from when it sent the request.
--- a/limeway/src/config.rs
+++ b/limeway/src/config.rs
@@ -1,6 +1,6 @@
 //! The JSON configuration and the environment, checked; each error names its key.
 
-use crate::discovery::catalog::List;
+use crate::discovery::catalog::ServerList;
 use crate::network::descriptors::SOCKETS_LEAST;
 use pondgw::Setup;
 use serde::Deserialize;
@@ -42,7 +42,7 @@
     #[serde(default)]
     peers: Vec<String>,
     counter: Option<String>,
-    known: Option<List>,
+    known: Option<ServerList>,
     settings: Option<serde_json::Value>,
 }
 
@@ -100,7 +100,7 @@
     /// Where messages of other limiters arrive, and the address of each limiter.
     pub peers: Option<(SocketAddr, Vec<SocketAddr>)>,
     /// The servers as last known.
-    pub known: Option<List>,
+    pub known: Option<ServerList>,
     /// The settings object.
     pub setup: Setup,
 }
--- a/limeway/src/core.rs
+++ b/limeway/src/core.rs
@@ -3,13 +3,13 @@
 
 use crate::clock::Clock;
 use crate::config::{Config, Places};
-use crate::discovery::catalog::List;
+use crate::discovery::catalog::ServerList;
 use crate::log_limiter::LogLimiter;
 use crate::network::descriptors::Descriptors;
 use crate::network::loop_lag::LoopLag;
 use crate::network::network_event::{End, EventSink, NetworkEvent, Served};
-use crate::upstream::attempts::{Attempts, Forward, Start};
-use crate::upstream::servers::Pools;
+use crate::upstream::attempts::{AttemptRunner, AttemptSpec, ForwardedRequest};
+use crate::upstream::servers::ServerPools;
 use crate::{counter, peers};
 use pondgw::*;
 use std::cell::{Cell, RefCell};
@@ -71,7 +71,7 @@
     name: Rc<[u8]>,
     /// Where the final answer goes; nothing once it has been given.
     reply: Option<oneshot::Sender<Answer>>,
-    forward: Rc<Forward>,
+    forward: Rc<ForwardedRequest>,
     deadline: Micros,
     attempts: Vec<Attempt>,
 }
@@ -106,8 +106,8 @@
     /// How long what is read may have waited.
     pub lag: Arc<LoopLag>,
     /// Connections to servers.
-    pub pools: Rc<Pools>,
-    attempts: Rc<Attempts>,
+    pub pools: Rc<ServerPools>,
+    attempts: Rc<AttemptRunner>,
     /// Connections to the counter.
     pub counter: Option<Rc<counter::Counter>>,
     /// The way to other limiters.
@@ -150,7 +150,7 @@
             Self::with_sink(config, peers, descriptors, lag, sink)
         });
         // Also where nothing is known: the module says when discovery is asked from then on.
-        let none = List { seq: 0, whole: true, hosts: Vec::new(), spoilt: 0 };
+        let none = ServerList { seq: 0, whole: true, hosts: Vec::new(), invalid_rows: 0 };
         core.learn(ListKind::Cached, core.config.known.as_ref().unwrap_or(&none));
         core
     }
@@ -169,8 +169,8 @@
             .places
             .counter
             .map(|address| counter::Counter::new(address, limit, descriptors.clone(), sink.clone()));
-        let pools = Rc::new(Pools::new(&config.setup, descriptors.clone()));
-        let attempts = Attempts::new(pools.clone(), clock.clone(), log_limiter.clone(), sink.clone());
+        let pools = Rc::new(ServerPools::new(&config.setup, descriptors.clone()));
+        let attempts = AttemptRunner::new(pools.clone(), clock.clone(), log_limiter.clone(), sink.clone());
         let gateway = Gateway::new(config.setup.settings.clone(), config.seed, clock.now());
         Core {
             pools,
@@ -231,8 +231,8 @@
     }
 
     /// Takes news of the servers: pools first, so that nothing more goes where it should not.
-    pub fn learn(self: &Rc<Self>, kind: ListKind, list: &List) {
-        let entries = self.pools.learn(kind, list);
+    pub fn learn(self: &Rc<Self>, kind: ListKind, list: &ServerList) {
+        let entries = self.pools.apply_list(kind, list);
         self.feed(Event::Servers { kind, entries });
     }
 
@@ -335,7 +335,8 @@
             self.set(state, now + timeout, Due::Attempt(id, number));
         }
         let until = if timeout > 0 { deadline.min(now + timeout) } else { deadline };
-        self.attempts.start(Start { id, number, server, forward, until, wanted }, stopped);
+        self.attempts
+            .start(AttemptSpec { id, number, server, forward, deadline: until, may_write: wanted }, stopped);
     }
 
     /// A client's request has come whole. Gives its number and where its answer will come; nothing where another
@@ -344,7 +345,7 @@
         self: &Rc<Self>,
         name: &[u8],
         mut demand: Demand,
-        forward: Forward,
+        forward: ForwardedRequest,
     ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
         let (reply, answer) = oneshot::channel();
         let mut state = self.state.borrow_mut();
--- a/limeway/src/discovery/follower.rs
+++ b/limeway/src/discovery/follower.rs
@@ -6,7 +6,7 @@
 //! fallen silent.
 
 use crate::core::Core;
-use crate::discovery::catalog::List;
+use crate::discovery::catalog::ServerList;
 use crate::network::connection::{Broken, Conn, Reply};
 use crate::network::descriptors::{self, Owner};
 use crate::network::http;
@@ -70,7 +70,7 @@
 }
 
 /// A list, and the connection that it came on if that can be used again.
-type Answer = (List, Option<Conn>);
+type Answer = (ServerList, Option<Conn>);
 
 /// Follows discovery at one address.
 struct Follower<'a> {
@@ -95,7 +95,7 @@
         let ask = core.config.setup.settings.ask;
         // What was known at the start is what the module holds: changes since then are enough, and cost discovery
         // less than the whole list. They are asked for without a wait, as the limiter is not ready before.
-        let known = core.config.known.as_ref().filter(|list| !moved && list.whole && list.spoilt == 0);
+        let known = core.config.known.as_ref().filter(|list| !moved && list.whole && list.invalid_rows == 0);
         let now = Instant::now();
         Follower {
             core,
@@ -197,15 +197,15 @@
         let early = self.began.elapsed() < Duration::from_millis(self.hold_ms) / 2;
         // Changes refer to the list held; the whole list stands for itself, unless some of it cannot be read:
         // whoever is not named then may well be there.
-        if list.whole && list.spoilt == 0 {
+        if list.whole && list.invalid_rows == 0 {
             self.core.learn(ListKind::Full, &list);
         } else {
             // Also where nothing has changed: the module knows by that how old news can be.
             self.core.learn(ListKind::Delta, &list);
         }
         self.core.ready.set(true);
-        if list.spoilt > 0 {
-            self.core.log_limiter.warn(format_args!("discovery: {} rows make no sense", list.spoilt));
+        if list.invalid_rows > 0 {
+            self.core.log_limiter.warn(format_args!("discovery: {} rows make no sense", list.invalid_rows));
             (self.seq, self.hold_ms) = (None, FIRST_HOLD_MS);
             return self.back_off();
         }
--- a/limeway/src/upstream/attempts.rs
+++ b/limeway/src/upstream/attempts.rs
@@ -5,7 +5,7 @@
 use crate::network::connection::{Broken, Conn, Reply};
 use crate::network::http;
 use crate::network::network_event::{End, EventSink, NetworkEvent, Served};
-use crate::upstream::servers::{Pools, Taken};
+use crate::upstream::servers::{Checkout, ServerPools};
 use pondgw::{Load, Micros, RequestId, ServerId, Status};
 use std::cell::Cell;
 use std::io;
@@ -17,7 +17,7 @@
 
 /// A client's request as it goes on to servers.
 #[derive(Debug)]
-pub struct Forward {
+pub struct ForwardedRequest {
     /// Request line and headers, without the last empty line and what depends on the attempt.
     pub head: Vec<u8>,
     /// The body.
@@ -25,7 +25,7 @@
 }
 
 /// An attempt to be made.
-pub struct Start {
+pub struct AttemptSpec {
     /// The request.
     pub id: RequestId,
     /// Number of the attempt.
@@ -33,30 +33,35 @@
     /// Where it goes.
     pub server: ServerId,
     /// What is sent.
-    pub forward: Rc<Forward>,
+    pub forward: Rc<ForwardedRequest>,
     /// Until when an answer is waited for, by the module's clock.
-    pub until: Micros,
+    pub deadline: Micros,
     /// Cleared once its request is over or it has been told to end: nothing is written from then on.
-    pub wanted: Rc<Cell<bool>>,
+    pub may_write: Rc<Cell<bool>>,
 }
 
 /// Makes attempts over the pools' connections.
-pub struct Attempts {
-    pools: Rc<Pools>,
+pub struct AttemptRunner {
+    pools: Rc<ServerPools>,
     clock: Rc<Clock>,
     log_limiter: Rc<LogLimiter>,
     sink: EventSink,
 }
 
-impl Attempts {
+impl AttemptRunner {
     /// Attempts over these pools, whose ends go to the sink.
-    pub fn new(pools: Rc<Pools>, clock: Rc<Clock>, log_limiter: Rc<LogLimiter>, sink: EventSink) -> Rc<Self> {
-        Rc::new(Attempts { pools, clock, log_limiter, sink })
+    pub fn new(
+        pools: Rc<ServerPools>,
+        clock: Rc<Clock>,
+        log_limiter: Rc<LogLimiter>,
+        sink: EventSink,
+    ) -> Rc<Self> {
+        Rc::new(AttemptRunner { pools, clock, log_limiter, sink })
     }
 
     /// Makes an attempt and reports how it ended. `stopped` ends it before its time: its connection is closed by the
     /// time of the report, so that no further attempt can overlap with it.
-    pub fn start(self: &Rc<Self>, start: Start, stopped: oneshot::Receiver<Status>) {
+    pub fn start(self: &Rc<Self>, start: AttemptSpec, stopped: oneshot::Receiver<Status>) {
         self.pools.count_out(start.server, true);
         let this = self.clone();
         tokio::task::spawn_local(async move {
@@ -80,11 +85,11 @@
         !body.is_empty() && !http::holds_status_line(body) && self.pools.is_alive(server, began)
     }
 
-    async fn attempt(&self, start: &Start, written: &Cell<bool>) -> End {
+    async fn attempt(&self, start: &AttemptSpec, written: &Cell<bool>) -> End {
         let (pools, began) = (&self.pools, Instant::now());
         let mut conn = match pools.take(start.server) {
-            Some(Taken::Kept(conn)) => conn,
-            Some(Taken::ToOpen(address, held)) => {
+            Some(Checkout::Idle(conn)) => conn,
+            Some(Checkout::Connect(address, held)) => {
                 match timeout(pools.dial_timeout, Conn::open(address, held)).await {
                     Ok(Ok(conn)) => {
                         // What came with the connection may speak against this attempt: a process that was held up
@@ -111,7 +116,7 @@
         };
         // While the connection came up the client may have left, the attempt may have been told to end, and the
         // server may have been drained or replaced: nothing is sent on then, and what is sound is kept for others.
-        if !start.wanted.get() {
+        if !start.may_write.get() {
             pools.give_back(start.server, conn);
             return Status::Moot.into();
         }
@@ -119,7 +124,7 @@
             return Status::Moot.into();
         }
         // What is left now: the connection may have taken long to come up.
-        let message = message(&start.forward, start.until.saturating_sub(self.clock.now()));
+        let message = message(&start.forward, start.deadline.saturating_sub(self.clock.now()));
         if let Err(e) = conn.write(&message, written).await {
             log::debug!("server {} broke off before the request was written: {e}", start.server);
             // Broke before the last byte was handed over: it cannot have run.
@@ -195,7 +200,7 @@
 }
 
 /// The bytes of an attempt: the client's request, with the time that is left.
-fn message(forward: &Forward, left: Micros) -> Vec<u8> {
+fn message(forward: &ForwardedRequest, left: Micros) -> Vec<u8> {
     let mut digits = itoa::Buffer::new();
     let mut message = Vec::with_capacity(forward.head.len() + forward.body.len() + 64);
     message.extend_from_slice(&forward.head);
--- a/limeway/src/upstream/servers.rs
+++ b/limeway/src/upstream/servers.rs
@@ -1,6 +1,6 @@
 //! Servers as discovery lists them, and pools of connections to them.
 
-use crate::discovery::catalog::{Health, List};
+use crate::discovery::catalog::{Health, ServerList};
 use crate::network::connection::{Conn, IdleState};
 use crate::network::descriptors::{Descriptors, Held, Owner};
 use crate::upstream::zones::Zones;
@@ -35,15 +35,15 @@
 }
 
 /// A connection for an attempt.
-pub enum Taken {
+pub enum Checkout {
     /// One that stood idle.
-    Kept(Conn),
+    Idle(Conn),
     /// One may be opened to this address.
-    ToOpen(SocketAddr, Held),
+    Connect(SocketAddr, Held),
 }
 
 /// The servers by number, with the connections to each.
-pub struct Pools {
+pub struct ServerPools {
     hosts: RefCell<Vec<Host>>,
     numbers: RefCell<HashMap<String, ServerId>>,
     /// Numbers of servers that are gone and have nothing out, to be given again.
@@ -55,10 +55,10 @@
     pub dial_timeout: Duration,
 }
 
-impl Pools {
+impl ServerPools {
     /// Empty pools.
     pub fn new(setup: &Setup, descriptors: Rc<Descriptors>) -> Self {
-        Pools {
+        ServerPools {
             hosts: RefCell::default(),
             numbers: RefCell::default(),
             free: RefCell::default(),
@@ -71,7 +71,7 @@
 
     /// Takes in a list of servers and turns it into what the module reads. A server is known by its host, as
     /// its address may change; connections to an old address or to one that leaves are let go.
-    pub fn learn(&self, kind: ListKind, list: &List) -> Vec<Entry> {
+    pub fn apply_list(&self, kind: ListKind, list: &ServerList) -> Vec<Entry> {
         let (mut hosts, mut numbers) = (self.hosts.borrow_mut(), self.numbers.borrow_mut());
         let mut zones = self.zones.borrow_mut();
         // Guards against growing with every new id. The module was told with an earlier list that these are gone,
@@ -140,7 +140,7 @@
     }
 
     /// An idle connection that can be used, or the address to open one to; nothing where neither is to be had.
-    pub fn take(&self, server: ServerId) -> Option<Taken> {
+    pub fn take(&self, server: ServerId) -> Option<Checkout> {
         let mut hosts = self.hosts.borrow_mut();
         let host = hosts.get_mut(server)?;
         // Of those that have rested, the one used last is the least likely to be closing, and the others can
@@ -151,13 +151,13 @@
             }
             let conn = host.idle.remove(at);
             if conn.idle() < self.keep && conn.quiet() {
-                return Some(Taken::Kept(conn));
+                return Some(Checkout::Idle(conn));
             }
         }
         let address = host.address?;
         loop {
             if let Some(held) = self.descriptors.try_hold(Owner::Servers) {
-                return Some(Taken::ToOpen(address, held));
+                return Some(Checkout::Connect(address, held));
             }
             let oldest = hosts.iter_mut().filter(|h| !h.idle.is_empty()).max_by_key(|h| h.idle[0].idle())?;
             oldest.idle.remove(0);
