--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -7,7 +7,7 @@
 
 /// The times, from the start on, at which a gateway asks for discovery if every call fails at once.
 fn watch_times(gateways: u32, seed: u64, duration: Micros) -> Vec<Micros> {
-    let mut host = Host::with_seed(Settings { ask: true, gateways, ..settings() }, 3, seed);
+    let mut host = Host::with_seed(Settings { watch_discovery: true, gateways, ..settings() }, 3, seed);
     let (start, mut seen, mut times) = (host.now, 0, Vec::new());
     while host.now < start + duration {
         host.advance(10 * MS);
@@ -59,7 +59,7 @@
 #[test]
 fn an_answer_cancels_the_pending_retry() {
     for kind in [ListKind::Delta, ListKind::Full] {
-        let mut host = Host::new(Settings { ask: true, ..settings() }, 3);
+        let mut host = Host::new(Settings { watch_discovery: true, ..settings() }, 3);
         host.advance(S);
         host.deliver_list(ListKind::Failed, Vec::new());
         host.deliver_list(kind, (0..3).map(server_entry).collect());
@@ -78,7 +78,7 @@
 
 #[test]
 fn an_answer_resets_the_backoff() {
-    let mut host = Host::new(Settings { ask: true, ..settings() }, 3);
+    let mut host = Host::new(Settings { watch_discovery: true, ..settings() }, 3);
     for _ in 0..6 {
         host.deliver_list(ListKind::Failed, Vec::new());
     }
--- a/tests/ceiling.rs
+++ b/tests/ceiling.rs
@@ -16,7 +16,7 @@
 impl Fleet {
     fn new(size: u32) -> Self {
         let new_host = |me: u32| {
-            let set = Settings { gateways: size, me, ..settings() };
+            let set = Settings { gateways: size, gateway_index: me, ..settings() };
             let mut host = Host::with_seed(set, 4, u64::from(me) * 97 + 3);
             host.responsive_servers = (0..4).collect();
             host
@@ -28,7 +28,9 @@
     fn request(&mut self, gateway: usize, customer: &str) {
         self.last_id += 1;
         let (id, spread) = (self.last_id, self.hosts.len() as u32);
-        self.with_counter(gateway, |host| host.request_from(customer, spread, id, (SAFE, WITH_CEILING, S)));
+        self.with_counter(gateway, |host| {
+            host.request_from(customer, spread, id, (IDEMPOTENT, WITH_CEILING, S))
+        });
     }
 
     fn with_counter(&mut self, gateway: usize, run: impl FnOnce(&mut Host)) {
@@ -93,15 +95,15 @@
 #[test]
 fn admitted_requests_that_wait_for_a_server_count_against_the_window_they_are_sent_in() {
     let mut set = settings();
-    set.classes[SAFE].slo = 8 * S;
+    set.classes[IDEMPOTENT].slo = 8 * S;
     let mut host = Host::new(set, 1);
     // No server takes requests for three windows.
     host.deliver_list(ListKind::Delta, vec![draining_entry(0)]);
     for id in 0..60 {
-        host.request(id, SAFE, WITH_CEILING, 8 * S);
+        host.request(id, IDEMPOTENT, WITH_CEILING, 8 * S);
         host.advance(50 * MS);
     }
-    let servers = (0..30).map(|n| Entry { started: 1, ..server_entry(n) }).collect();
+    let servers = (0..30).map(|n| ServerEntry { started_at: 1, ..server_entry(n) }).collect();
     host.deliver_list(ListKind::Full, servers);
     host.advance(20 * MS);
     let sent = host.sent_attempts.len();
--- a/tests/combinations.rs
+++ b/tests/combinations.rs
@@ -10,16 +10,16 @@
 fn a_flooding_customer_takes_nothing_from_others_while_the_counter_is_silent() {
     let mut host = Host::new(settings(), 6);
     host.responsive_servers = (0..6).collect();
-    host.request(1, SAFE, RATE_LIMITED, 4 * S);
+    host.request(1, IDEMPOTENT, RATE_LIMITED, 4 * S);
     host.advance(2 * S);
     host.counter_mode = CounterMode::TimesOut;
     let mut sent = 0;
     for second in 0..10 {
         for n in 0..100 {
             let id = 1_000 + second * 100 + n;
-            host.request_from("flood", 2, id, (SAFE, RATE_LIMITED, 4 * S));
+            host.request_from("flood", 2, id, (IDEMPOTENT, RATE_LIMITED, 4 * S));
         }
-        host.request(10 + second, SAFE, RATE_LIMITED, 4 * S);
+        host.request(10 + second, IDEMPOTENT, RATE_LIMITED, 4 * S);
         host.advance(S);
         sent += usize::from(!host.servers_tried(10 + second).is_empty());
     }
@@ -42,7 +42,7 @@
     let late = host.sent_attempts.iter().filter(|s| s.server == 0 && s.at > 103 * S).count();
     assert!(late <= 6, "{late} attempts went to the hung server in the second half");
     let unsafe_attempts =
-        host.attempt_counts.iter().filter(|(id, _)| *id % 3 == UNSAFE as u64).map(|(_, n)| *n).max();
+        host.attempt_counts.iter().filter(|(id, _)| *id % 3 == NON_IDEMPOTENT as u64).map(|(_, n)| *n).max();
     assert_eq!(unsafe_attempts, Some(1), "an unsafe request was repeated");
 }
 
@@ -51,15 +51,15 @@
     let mut host = Host::new(settings(), 4);
     host.responsive_servers = (0..4).collect();
     for id in 0..500 {
-        host.request(id, SAFE, UNLIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(10 * MS);
     }
     let start = host.now;
-    let restarted = |n| Entry { started: start, ..server_entry(n) };
+    let restarted = |n| ServerEntry { started_at: start, ..server_entry(n) };
     host.deliver_list(ListKind::Delta, vec![restarted(2), restarted(3)]);
     for id in 500..600 {
         for n in 0..4 {
-            host.request(id * 10 + n, SAFE, UNLIMITED, 4 * S);
+            host.request(id * 10 + n, IDEMPOTENT, UNLIMITED, 4 * S);
         }
         host.advance(10 * MS);
     }
@@ -81,7 +81,7 @@
     for round in 0..6 {
         for _ in 0..100 {
             last_id += 1;
-            host.request(last_id, SAFE, RATE_LIMITED, 3 * S);
+            host.request(last_id, IDEMPOTENT, RATE_LIMITED, 3 * S);
             host.advance(10 * MS);
         }
         // Nothing is delivered for 1.5 s; then the requests that arrived meanwhile, all at once.
@@ -108,13 +108,13 @@
     let mut outstanding: Vec<SentAttempt> = Vec::new();
     let (mut seen, mut answered) = (0, 0);
     for id in 0..1_000 {
-        host.request(id, SAFE, UNLIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(20 * MS);
         outstanding.extend(host.sent_attempts[seen..].iter().filter(|s| s.server >= 2));
         seen = host.sent_attempts.len();
         // Servers 0 and 1 accept requests and never answer; the other four answer after half of the objective.
         while outstanding.first().is_some_and(|sent| sent.at + 500 * MS <= host.now) {
-            host.serve(outstanding.remove(0), 500 * MS, Load::default());
+            host.serve(outstanding.remove(0), 500 * MS, LoadReport::default());
             answered += 1;
         }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,9 +8,9 @@
 pub const S: Micros = 1_000_000;
 
 // Indices of the classes in `settings`.
-pub const SAFE: usize = 0;
+pub const IDEMPOTENT: usize = 0;
 pub const KEYED: usize = 1;
-pub const UNSAFE: usize = 2;
+pub const NON_IDEMPOTENT: usize = 2;
 /// Keyed, with keys shared only among the servers of one zone.
 pub const KEYED_PER_ZONE: usize = 3;
 
@@ -23,62 +23,68 @@
 pub const OPEN_LIMITED: usize = 2;
 pub const UNLIMITED: usize = 3;
 
-pub fn class(effect: Effect, scope: Scope) -> Class {
-    Class { slo: S, effect, scope, window: 4 * S, worth: 1.0 }
+pub fn class(idempotency: Idempotency, key_scope: KeyScope) -> Class {
+    Class { slo: S, idempotency, key_scope, dedup_window: 4 * S, value: 1.0 }
 }
 
 pub fn plan(rate: f64, burst: f64) -> Plan {
-    Plan { rate, burst, open: 0.0, price: 1.0, ceiling_rate: 0.0, ceiling_burst: 0.0 }
+    Plan { rate, burst, max_concurrent: 0.0, value_factor: 1.0, ceiling_rate: 0.0, ceiling_burst: 0.0 }
 }
 
 /// Settings of the first of two gateways.
 pub fn settings() -> Settings {
     Settings {
         gateways: 2,
-        me: 0,
+        gateway_index: 0,
         zone: 0,
-        round: 4 * MS,
-        ask: false,
+        tick: 4 * MS,
+        watch_discovery: false,
         classes: vec![
-            class(Effect::Safe, Scope::All),
-            class(Effect::Keyed, Scope::All),
-            class(Effect::Unsafe, Scope::All),
-            class(Effect::Keyed, Scope::Zone),
+            class(Idempotency::Idempotent, KeyScope::All),
+            class(Idempotency::Keyed, KeyScope::All),
+            class(Idempotency::NonIdempotent, KeyScope::All),
+            class(Idempotency::Keyed, KeyScope::Zone),
         ],
         plans: vec![
             plan(4.0, 8.0),
             Plan { ceiling_rate: 8.0, ceiling_burst: 16.0, ..plan(4.0, 8.0) },
-            Plan { open: 2.0, ..plan(0.0, 0.0) },
+            Plan { max_concurrent: 2.0, ..plan(0.0, 0.0) },
             plan(0.0, 0.0),
         ],
         max_units: 1.0,
         permissions: Permissions {
             cancel: true,
-            second_copies: true,
+            parallel_attempts: true,
             max_attempts: 3,
             max_retry_after: S,
-            retry_after: true,
-            peers: false,
-            connect: 250 * MS,
+            send_retry_after: true,
+            peer_messages: false,
+            connect_timeout: 250 * MS,
+        },
+        counter: Some(CounterSettings { call_timeout: 50 * MS }),
+        server_rules: ServerRules {
+            slow_start_duration: 10 * S,
+            initial_capacity: 0.25,
+            overload_duration: S,
+            overload_factor: 2.0,
+            max_watch_interval: 0,
         },
-        counter: Some(CounterSettings { limit: 50 * MS }),
-        rules: Rules { cold: 10 * S, cold_from: 0.25, fall: S, fall_multiple: 2.0, ask_within: 0 },
     }
 }
 
 /// The list entry of a server in service. Servers alternate between two zones.
-pub fn server_entry(server: ServerId) -> Entry {
-    Entry { server, zone: server % 2, cell: 0, state: Lifecycle::Ready, weight: 1.0, started: 0 }
+pub fn server_entry(server: ServerId) -> ServerEntry {
+    ServerEntry { server, zone: server % 2, cell: 0, lifecycle: Lifecycle::Ready, weight: 1.0, started_at: 0 }
 }
 
 /// The list entry of a server that drains.
-pub fn draining_entry(server: ServerId) -> Entry {
-    Entry { state: Lifecycle::Draining, ..server_entry(server) }
+pub fn draining_entry(server: ServerId) -> ServerEntry {
+    ServerEntry { lifecycle: Lifecycle::Draining, ..server_entry(server) }
 }
 
 /// The list entry of a server that discovery has removed.
-pub fn removed_entry(server: ServerId) -> Entry {
-    Entry { state: Lifecycle::Gone, ..server_entry(server) }
+pub fn removed_entry(server: ServerId) -> ServerEntry {
+    ServerEntry { lifecycle: Lifecycle::Removed, ..server_entry(server) }
 }
 
 /// How the simulated counter treats calls.
@@ -152,7 +158,7 @@
         host
     }
 
-    pub fn deliver_list(&mut self, kind: ListKind, entries: Vec<Entry>) {
+    pub fn deliver_list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
         self.deliver(Event::Servers { kind, entries });
     }
 
@@ -173,8 +179,8 @@
                             server,
                             status: Status::Ok,
                             latency: 100 * MS,
-                            closed: true,
-                            load: Load::default(),
+                            request_done: true,
+                            load: LoadReport::default(),
                         };
                         self.scheduled.push((self.now + 100 * MS, Event::Outcome(outcome)));
                     }
@@ -194,7 +200,7 @@
                     let counted = Event::Counted { name, status, total: *total, latency };
                     self.scheduled.push((self.now + latency, counted));
                 }
-                Action::Cancel { .. } | Action::Tell { .. } | Action::Watch => {}
+                Action::Cancel { .. } | Action::SendToPeer { .. } | Action::Watch => {}
             }
         }
     }
@@ -214,21 +220,46 @@
         (class, plan, left): (usize, usize, Micros),
     ) {
         let (customer, units, first) = (customer.to_owned(), 1.0, 0);
-        self.deliver(Event::Request(Demand { id, class, plan, customer, left, units, spread, first }));
+        self.deliver(Event::Request(ClientRequest {
+            id,
+            class,
+            plan,
+            customer,
+            time_left: left,
+            units,
+            gateways: spread,
+            first_gateway: first,
+        }));
     }
 
     /// Ends an attempt with this status, 100 ms after it was sent as far as the gateway is told.
     pub fn end_attempt(&mut self, id: RequestId, attempt: u32, server: ServerId, status: Status) {
-        let (closed, load) = (status == Status::Ok, Load::default());
+        let (closed, load) = (status == Status::Ok, LoadReport::default());
         let latency = 100 * MS;
-        self.deliver(Event::Outcome(Outcome { id, attempt, server, status, latency, closed, load }));
+        self.deliver(Event::Outcome(Outcome {
+            id,
+            attempt,
+            server,
+            status,
+            latency,
+            request_done: closed,
+            load,
+        }));
     }
 
     /// Lets a server answer an attempt with this latency and load report, which closes the request.
-    pub fn serve(&mut self, sent: SentAttempt, latency: Micros, load: Load) {
+    pub fn serve(&mut self, sent: SentAttempt, latency: Micros, load: LoadReport) {
         let SentAttempt { id, attempt, server, .. } = sent;
         let (status, closed) = (Status::Ok, true);
-        self.deliver(Event::Outcome(Outcome { id, attempt, server, status, latency, closed, load }));
+        self.deliver(Event::Outcome(Outcome {
+            id,
+            attempt,
+            server,
+            status,
+            latency,
+            request_done: closed,
+            load,
+        }));
     }
 
     /// Advances the clock to a time, and on the way delivers timers and scheduled events when they are due.
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -8,11 +8,19 @@
 /// of attempts sent after the client left.
 fn attempts_after_client_left(host: &mut Host, id: RequestId, status: Status) -> usize {
     let before = host.servers_tried(id).len();
-    host.deliver(Event::Gone { id });
+    host.deliver(Event::ClientGone { id });
     host.advance(100 * MS);
     for (attempt, server) in host.servers_tried(id).into_iter().enumerate() {
-        let (attempt, load) = (attempt as u32, Load::default());
-        host.deliver(Event::Outcome(Outcome { id, attempt, server, status, latency: S, closed: true, load }));
+        let (attempt, load) = (attempt as u32, LoadReport::default());
+        host.deliver(Event::Outcome(Outcome {
+            id,
+            attempt,
+            server,
+            status,
+            latency: S,
+            request_done: true,
+            load,
+        }));
     }
     host.counter_mode = CounterMode::Answers;
     host.deliver_list(ListKind::Delta, (0..3).map(server_entry).collect());
@@ -31,11 +39,17 @@
 
 #[test]
 fn no_attempt_is_sent_for_a_client_that_has_left() {
-    let statuses =
-        [Status::Full, Status::ConnectFailed, Status::Reset, Status::Error, Status::Timeout, Status::Moot];
+    let statuses = [
+        Status::Declined,
+        Status::ConnectFailed,
+        Status::Reset,
+        Status::Error,
+        Status::Timeout,
+        Status::NotSent,
+    ];
     for cancel in [true, false] {
         for status in statuses {
-            for class in [SAFE, KEYED, UNSAFE] {
+            for class in [IDEMPOTENT, KEYED, NON_IDEMPOTENT] {
                 for waiting_for in
                     [WaitingFor::Counter, WaitingFor::Server, WaitingFor::Attempt, WaitingFor::SecondAttempt]
                 {
@@ -57,7 +71,7 @@
                         // The other servers answer, so this request's server is ejected for its silence.
                         host.responsive_servers = (0..3).filter(|n| *n != host.servers_tried(7)[0]).collect();
                         for id in 100..180 {
-                            host.request(id, SAFE, UNLIMITED, 2 * S);
+                            host.request(id, IDEMPOTENT, UNLIMITED, 2 * S);
                             host.advance(20 * MS);
                         }
                     }
--- a/tests/escrow.rs
+++ b/tests/escrow.rs
@@ -7,7 +7,7 @@
 #[test]
 fn a_request_is_sent_only_after_its_lease() {
     let mut host = Host::new(settings(), 4);
-    host.request(1, SAFE, RATE_LIMITED, 4 * S);
+    host.request(1, IDEMPOTENT, RATE_LIMITED, 4 * S);
     assert!(host.servers_tried(1).is_empty());
     assert_eq!(host.counter_calls.len(), 1);
     host.advance(5 * MS);
@@ -18,7 +18,7 @@
 fn a_customer_has_one_lease_call_in_flight() {
     let mut host = Host::new(settings(), 4);
     for id in 0..4 {
-        host.request(id, SAFE, RATE_LIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, RATE_LIMITED, 4 * S);
     }
     assert_eq!(host.counter_calls.len(), 1);
     host.advance(5 * MS);
@@ -29,7 +29,7 @@
 #[test]
 fn a_request_is_refused_at_once_when_other_gateways_have_taken_the_budget() {
     let mut host = Host::new(settings(), 4);
-    host.request(1, SAFE, RATE_LIMITED, 4 * S);
+    host.request(1, IDEMPOTENT, RATE_LIMITED, 4 * S);
     let name = host.counter_calls[0].name;
     *host.counter_totals.get_mut(&name).expect("a count") += 100.0;
     host.deliver(Event::Counted { name, status: Status::Ok, total: 101.0, latency: MS });
@@ -43,7 +43,7 @@
     host.responsive_servers = (0..4).collect();
     let start = host.now;
     for id in 0..800 {
-        host.request(id, SAFE, RATE_LIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, RATE_LIMITED, 4 * S);
         host.advance(25 * MS);
     }
     let seconds = (host.now - start) as f64 / S as f64;
@@ -57,7 +57,7 @@
     let mut host = Host::new(settings(), 4);
     host.counter_mode = CounterMode::TimesOut;
     for id in 0..10 {
-        host.request(id, SAFE, RATE_LIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, RATE_LIMITED, 4 * S);
     }
     host.advance(S);
     // Half of a burst of eight, and two units a second for the 0.4 s that a request waits.
@@ -69,14 +69,14 @@
 fn a_long_outage_of_the_counter_is_bridged_with_the_even_split() {
     let mut host = Host::new(settings(), 4);
     host.responsive_servers = (0..4).collect();
-    host.request(1, SAFE, RATE_LIMITED, 4 * S);
+    host.request(1, IDEMPOTENT, RATE_LIMITED, 4 * S);
     host.advance(S);
     for mode in [CounterMode::TimesOut, CounterMode::Unreachable] {
         host.counter_mode = mode;
         let before = host.requests_sent();
         let start = host.now;
         for id in 0..200 {
-            host.request(1_000 + start + id, SAFE, RATE_LIMITED, 4 * S);
+            host.request(1_000 + start + id, IDEMPOTENT, RATE_LIMITED, 4 * S);
             host.advance(50 * MS);
         }
         // Ten seconds, over several windows, at two units a second, which is the even split between two gateways, and
@@ -91,7 +91,7 @@
 fn all_gateways_use_the_same_count_names() {
     let mut first = Host::new(settings(), 2);
     let mut second = Host::new(Settings { gateways: 5, ..settings() }, 3);
-    first.request(1, SAFE, RATE_LIMITED, 4 * S);
+    first.request(1, IDEMPOTENT, RATE_LIMITED, 4 * S);
     second.request(9, KEYED, RATE_LIMITED, 4 * S);
     assert_eq!(first.counter_calls[0].name, second.counter_calls[0].name);
     assert!(first.counter_calls[0].name < 1 << 63);
@@ -101,7 +101,7 @@
 fn without_a_counter_no_calls_are_made_and_the_even_split_is_spent() {
     let mut host = Host::new(Settings { counter: None, ..settings() }, 4);
     for id in 0..100 {
-        host.request(id, SAFE, RATE_LIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, RATE_LIMITED, 4 * S);
     }
     host.advance(S);
     assert!(host.counter_calls.is_empty());
@@ -111,7 +111,7 @@
 #[test]
 fn idle_customers_are_forgotten() {
     let mut host = Host::new(settings(), 2);
-    host.request(1, SAFE, RATE_LIMITED, 2 * S);
+    host.request(1, IDEMPOTENT, RATE_LIMITED, 2 * S);
     host.advance(10 * MS);
     host.end_attempt(1, 0, host.servers_tried(1)[0], Status::Ok);
     host.advance(120 * S);
@@ -129,7 +129,7 @@
         for n in 0..200 {
             let host = &mut hosts[(n + step as usize * 7) % 200];
             if (step + n as u64).is_multiple_of(20) {
-                host.request_from(&format!("club{}", step % 90), 50, step, (SAFE, RATE_LIMITED, S));
+                host.request_from(&format!("club{}", step % 90), 50, step, (IDEMPOTENT, RATE_LIMITED, S));
             }
             let before = host.counter_calls.len();
             host.counter_mode = if capacity > 0 { CounterMode::Answers } else { CounterMode::TimesOut };
@@ -153,12 +153,12 @@
 fn units_spent_without_a_lease_are_added_to_the_count_later() {
     let mut host = Host::new(settings(), 4);
     host.counter_mode = CounterMode::TimesOut;
-    host.request(1, SAFE, RATE_LIMITED, 4 * S);
+    host.request(1, IDEMPOTENT, RATE_LIMITED, 4 * S);
     host.advance(60 * MS);
     assert_eq!(host.servers_tried(1).len(), 1, "the even split is spent without the counter");
     host.counter_mode = CounterMode::Answers;
     for id in 2..12 {
-        host.request(id, SAFE, RATE_LIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, RATE_LIMITED, 4 * S);
         host.advance(20 * MS);
     }
     let calls = &host.counter_calls;
@@ -176,7 +176,7 @@
     let mut host = Host::new(settings(), 4);
     (host.counter_mode, host.responsive_servers) = (CounterMode::TimesOut, (0..4).collect());
     for id in 0..2_000 {
-        host.request_from(&format!("choir {}", id % 29), 2, id, (SAFE, RATE_LIMITED, 4 * S));
+        host.request_from(&format!("choir {}", id % 29), 2, id, (IDEMPOTENT, RATE_LIMITED, 4 * S));
         host.advance(10 * MS);
     }
     let recent = host.now - 10 * S;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,19 +6,28 @@
 
 /// Settings of one of many gateways that may talk.
 fn talking(me: u32, gateways: u32) -> Settings {
-    let mut set = Settings { me, gateways, ..settings() };
-    set.permissions.peers = true;
+    let mut set = Settings { gateway_index: me, gateways, ..settings() };
+    set.permissions.peer_messages = true;
     set
 }
 
 fn ask_of(host: &mut Host, id: RequestId, spread: u32) {
     let (customer, class, plan, left, units, first) = ("choir".to_owned(), 0, 0, 4 * S, 1.0, 0);
-    host.deliver(Event::Request(Demand { id, class, plan, customer, left, units, spread, first }));
+    host.deliver(Event::Request(ClientRequest {
+        id,
+        class,
+        plan,
+        customer,
+        time_left: left,
+        units,
+        gateways: spread,
+        first_gateway: first,
+    }));
 }
 
 fn told(host: &Host) -> Vec<(u32, Vec<u8>)> {
     let tell = |a: &Action| match a {
-        Action::Tell { peer, data } => Some((*peer, data.clone())),
+        Action::SendToPeer { peer, data } => Some((*peer, data.clone())),
         _ => None,
     };
     host.actions.iter().filter_map(tell).collect()
@@ -37,7 +46,7 @@
             seen[from] = messages.len();
         }
         for (from, (to, data)) in mail.into_iter().filter(|_| deliver) {
-            hosts[to as usize].deliver(Event::Peer { from, data });
+            hosts[to as usize].deliver(Event::PeerMessage { from, data });
         }
     }
 }
@@ -109,7 +118,7 @@
     below[9..13].copy_from_slice(&(-4.0f32).to_le_bytes());
     for data in [vec![], vec![9; 16], vec![0; 7], vec![2; 300], unknown_plan, endless, below, vec![2; 13]] {
         for from in [0, 3, 4_000_000_000] {
-            host.deliver(Event::Peer { from, data: data.clone() });
+            host.deliver(Event::PeerMessage { from, data: data.clone() });
         }
     }
     host.advance(S);
@@ -118,7 +127,7 @@
     let mut silent = Host::new(settings(), 4);
     let mut question = vec![0; 16];
     question[9..13].copy_from_slice(&1.0f32.to_le_bytes());
-    silent.deliver(Event::Peer { from: 1, data: question });
+    silent.deliver(Event::PeerMessage { from: 1, data: question });
     silent.advance(S);
     assert!(silent.counter_calls.is_empty() && told(&silent).is_empty());
 }
@@ -137,12 +146,12 @@
             // Two requests a second at each gateway: six hundred a second over twenty servers.
             if (step + n as u64 * 17) % 25 == 0 {
                 id += 1;
-                host.request(id, SAFE, UNLIMITED, 4 * S);
+                host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
             }
             host.advance(20 * MS);
             if step == 300 {
                 start = host.now;
-                let rack = (0..6).map(|s| Entry { started: start, ..server_entry(s) }).collect();
+                let rack = (0..6).map(|s| ServerEntry { started_at: start, ..server_entry(s) }).collect();
                 host.deliver_list(ListKind::Delta, rack);
             }
         }
@@ -172,13 +181,13 @@
     let mut host = Host::new(Settings { gateways: 1, ..settings() }, 4);
     host.responsive_servers = (0..4).collect();
     for id in 0..100 {
-        host.request(id, SAFE, UNLIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(20 * MS);
     }
     // Requests go out, then the gateway gets no turn for two seconds.
     host.responsive_servers.clear();
     for id in 100..108 {
-        host.request(id, SAFE, UNLIMITED, 6 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 6 * S);
     }
     let out: Vec<_> = host.sent_attempts[100..].to_vec();
     host.now += 2 * S;
@@ -196,9 +205,9 @@
 fn a_server_that_turns_one_plan_away_keeps_its_room_for_the_others() {
     let mut host = Host::new(Settings { gateways: 1, ..settings() }, 1);
     for id in 0..50 {
-        host.request(id, SAFE, UNLIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         if !host.servers_tried(id).is_empty() {
-            host.end_attempt(id, 0, 0, Status::Full);
+            host.end_attempt(id, 0, 0, Status::Declined);
         }
     }
     for id in 100..108 {
@@ -213,14 +222,14 @@
     let mut host = Host::new(Settings { gateways: 300, ..settings() }, 100);
     let (mut out, mut seen, mut most) = (Vec::new(), 0, 0);
     for id in 0..3_000u64 {
-        host.request(id, SAFE, UNLIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(10 * MS);
         out.extend_from_slice(&host.sent_attempts[seen..]);
         seen = host.sent_attempts.len();
         most = if id >= 1_000 { most.max(out.len()) } else { 0 };
         // Every answer takes 0.9 of the objective, each from another server than the last.
         while out.first().is_some_and(|sent: &SentAttempt| sent.at + 900 * MS <= host.now) {
-            host.serve(out.remove(0), 900 * MS, Load::default());
+            host.serve(out.remove(0), 900 * MS, LoadReport::default());
         }
     }
     assert!(most <= 3, "{most} out from one of 300 gateways, whose share of the first bounds is 2.7");
@@ -233,7 +242,16 @@
     for id in 0..5_000 {
         let customer = format!("club{id}");
         let (class, plan, left, units, spread, first) = (0, 0, S, 1.0, 2, 0);
-        host.deliver(Event::Request(Demand { id, class, plan, customer, left, units, spread, first }));
+        host.deliver(Event::Request(ClientRequest {
+            id,
+            class,
+            plan,
+            customer,
+            time_left: left,
+            units,
+            gateways: spread,
+            first_gateway: first,
+        }));
         host.advance(2 * MS);
     }
     host.advance(5 * S);
@@ -264,18 +282,7 @@
                 if step % 200 == 0 {
                     host.counter_totals.clear();
                 }
-                let (customer, class, plan, left, units) = ("choir".to_owned(), 0, 1, S, 1.0);
-                let (id, spread, first) = (step, 8, 0);
-                host.deliver(Event::Request(Demand {
-                    id,
-                    class,
-                    plan,
-                    customer,
-                    left,
-                    units,
-                    spread,
-                    first,
-                }));
+                host.request_from("choir", 8, step, (IDEMPOTENT, WITH_CEILING, S));
                 host.advance(10 * MS);
             }
             if step % 170 == 169 {
@@ -310,15 +317,15 @@
                 let (customer, class, plan) =
                     (format!("club{}", id % 5), (id % 3) as usize, (id % 4) as usize);
                 let (left, units) = (S, 1.0);
-                host.deliver(Event::Request(Demand {
+                host.deliver(Event::Request(ClientRequest {
                     id,
                     class,
                     plan,
                     customer,
-                    left,
+                    time_left: left,
                     units,
-                    spread,
-                    first,
+                    gateways: spread,
+                    first_gateway: first,
                 }));
                 if id == 20 {
                     host.now += 3_600 * S;
@@ -353,7 +360,7 @@
 #[test]
 fn a_number_given_again_is_a_new_server() {
     let mut host = Host::new(settings(), 2);
-    host.request(1, SAFE, UNLIMITED, 4 * S);
+    host.request(1, IDEMPOTENT, UNLIMITED, 4 * S);
     host.advance(5 * MS);
     let at = host.servers_tried(1)[0];
     host.deliver_list(ListKind::Delta, vec![removed_entry(at)]);
@@ -363,7 +370,7 @@
     for n in 0..50 {
         host.deliver_list(ListKind::Delta, vec![server_entry(at)]);
         host.deliver_list(ListKind::Delta, vec![removed_entry(at)]);
-        host.request(100 + n, SAFE, UNLIMITED, 4 * S);
+        host.request(100 + n, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(5 * MS);
         assert!(host.servers_tried(100 + n).iter().all(|s| *s != at), "nothing goes to what is gone");
     }
@@ -375,7 +382,7 @@
 fn only_a_server_that_broke_a_connection_is_cold_after_its_trial() {
     for (broke, least, most) in [(false, 2, 8), (true, 0, 1)] {
         let mut host = Host::new(settings(), 2);
-        host.request(1, SAFE, UNLIMITED, 60 * S);
+        host.request(1, IDEMPOTENT, UNLIMITED, 60 * S);
         host.advance(5 * MS);
         let silent = host.servers_tried(1)[0];
         // Connections refused in a row; what goes to the other server meanwhile is answered afterwards.
@@ -384,7 +391,7 @@
             if refused == 3 {
                 break;
             }
-            host.request(id, SAFE, UNLIMITED, 4 * S);
+            host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
             if host.servers_tried(id) == [silent] {
                 host.end_attempt(id, 0, silent, Status::ConnectFailed);
                 refused += 1;
@@ -400,7 +407,7 @@
             }
         }
         let half_open = (10..600).find(|&id| {
-            host.request(id, SAFE, UNLIMITED, 4 * S);
+            host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
             let at = host.servers_tried(id)[0];
             host.end_attempt(id, 0, at, Status::Ok);
             host.advance(20 * MS);
@@ -409,7 +416,7 @@
         assert!(half_open.is_some(), "it is tried again");
         host.end_attempt(1, 0, silent, Status::Timeout);
         for id in 1_000..1_008 {
-            host.request(id, SAFE, UNLIMITED, 4 * S);
+            host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         }
         let there = (1_000..1_008).filter(|id| host.servers_tried(*id) == [silent]).count();
         assert!((least..=most).contains(&there), "{there} of 8 go there, broke: {broke}");
@@ -421,7 +428,7 @@
 fn one_reset_does_not_put_a_server_out_of_service() {
     let mut host = Host::new(settings(), 1);
     for id in 0..20 {
-        host.request(id, SAFE, UNLIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(5 * MS);
         assert_eq!(host.servers_tried(id), [0], "request {id}");
         host.end_attempt(id, 0, 0, if id % 2 == 0 { Status::Reset } else { Status::Ok });
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn unsafe_work_that_never_ran_goes_elsewhere() {
-    for status in [Status::Full, Status::ConnectFailed] {
+    for status in [Status::Declined, Status::ConnectFailed] {
         let mut host = Host::new(settings(), 3);
         let server = send_first_attempt(&mut host, 1, 2);
         host.end_attempt(1, 0, server, status);
@@ -68,10 +68,10 @@
 #[test]
 fn attempts_end_at_the_most_allowed() {
     let mut host = Host::new(settings(), 8);
-    host.request(1, SAFE, UNLIMITED, 4 * S);
+    host.request(1, IDEMPOTENT, UNLIMITED, 4 * S);
     for attempt in 0..3 {
         let server = host.servers_tried(1)[attempt as usize];
-        host.end_attempt(1, attempt, server, Status::Full);
+        host.end_attempt(1, attempt, server, Status::Declined);
     }
     assert_eq!(host.servers_tried(1).len(), 3);
     assert!(host.was_refused(1), "none of them ran");
@@ -80,12 +80,12 @@
 #[test]
 fn where_copies_are_not_allowed_an_attempt_is_withdrawn_first() {
     let mut set = settings();
-    set.permissions.second_copies = false;
+    set.permissions.parallel_attempts = false;
     let mut host = Host::new(set, 4);
     let hung = send_first_attempt(&mut host, 1, 0);
     // The others answer, the first stays silent.
     for id in 2..60 {
-        host.request(id, SAFE, UNLIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(30 * MS);
         if host.servers_tried(id).first().is_some_and(|s| *s != hung) {
             host.end_attempt(id, 0, host.servers_tried(id)[0], Status::Ok);
@@ -106,7 +106,7 @@
     host.responsive_servers = vec![1, 2, 3];
     let mut late = 0;
     for id in 0..400 {
-        host.request(id, SAFE, UNLIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(20 * MS);
         late += usize::from(id >= 200 && host.servers_tried(id).first() == Some(&0));
     }
@@ -120,7 +120,7 @@
         send_first_attempt(&mut host, id, 0);
     }
     host.advance(3 * S);
-    host.request(9, SAFE, UNLIMITED, 4 * S);
+    host.request(9, IDEMPOTENT, UNLIMITED, 4 * S);
     assert_eq!(host.servers_tried(9).len(), 1, "work still flows");
 }
 
@@ -131,7 +131,7 @@
     host.deliver_list(ListKind::Delta, vec![draining]);
     host.deliver_list(ListKind::Full, vec![server_entry(2)]);
     for id in 0..8 {
-        host.request(id, SAFE, UNLIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
     }
     assert!(!host.sent_attempts.is_empty());
     assert!(host.sent_attempts.iter().all(|s| s.server == 2));
@@ -140,10 +140,10 @@
 #[test]
 fn an_empty_list_holds_requests_and_answers_them() {
     let mut host = Host::new(settings(), 0);
-    host.request(1, SAFE, UNLIMITED, 2 * S);
+    host.request(1, IDEMPOTENT, UNLIMITED, 2 * S);
     host.advance(2 * S);
     assert!(host.was_refused(1));
-    host.request(2, SAFE, UNLIMITED, 0);
+    host.request(2, IDEMPOTENT, UNLIMITED, 0);
     host.advance(20 * MS);
     assert_eq!(host.final_answers.iter().filter(|a| a.0 == 2).count(), 1, "no time at all is answered too");
 }
@@ -153,10 +153,10 @@
     let mut host = Host::new(settings(), 2);
     host.responsive_servers = vec![0, 1];
     for id in 0..300 {
-        host.request(id, SAFE, UNLIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(20 * MS);
         if id == 150 {
-            host.deliver_list(ListKind::Delta, vec![Entry { started: host.now, ..server_entry(1) }]);
+            host.deliver_list(ListKind::Delta, vec![ServerEntry { started_at: host.now, ..server_entry(1) }]);
         }
     }
     let start = host.now - 149 * 20 * MS;
@@ -174,17 +174,17 @@
 fn every_refusal_says_when_to_come_back_where_that_is_allowed() {
     for allowed in [true, false] {
         let mut set = settings();
-        set.permissions.retry_after = allowed;
+        set.permissions.send_retry_after = allowed;
         let mut host = Host::new(set, 1);
         // One meets a server that turns it away, one finds no server, one has no time, the rest exceed the quota.
-        host.request(1, SAFE, UNLIMITED, 4 * S);
+        host.request(1, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(5 * MS);
-        host.end_attempt(1, 0, 0, Status::Full);
+        host.end_attempt(1, 0, 0, Status::Declined);
         host.deliver_list(ListKind::Delta, vec![draining_entry(0)]);
-        host.request(2, SAFE, UNLIMITED, 4 * S);
-        host.request(3, SAFE, UNLIMITED, 0);
+        host.request(2, IDEMPOTENT, UNLIMITED, 4 * S);
+        host.request(3, IDEMPOTENT, UNLIMITED, 0);
         for id in 4..40 {
-            host.request(id, SAFE, RATE_LIMITED, 4 * S);
+            host.request(id, IDEMPOTENT, RATE_LIMITED, 4 * S);
         }
         host.advance(5 * S);
         let mut refusals = 0;
@@ -216,11 +216,11 @@
             if restarted {
                 host.deliver_list(
                     ListKind::Delta,
-                    vec![Entry { started: host.now - 50 * S, ..server_entry(1) }],
+                    vec![ServerEntry { started_at: host.now - 50 * S, ..server_entry(1) }],
                 );
             }
             for id in 0..300 {
-                host.request(id, SAFE, UNLIMITED, 4 * S);
+                host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
                 host.advance(20 * MS);
                 if id % 50 == 0 {
                     // Discovery answers in time, with nothing new.
@@ -229,7 +229,10 @@
                 if id == 160 {
                     start = host.now;
                     let started = start + ahead - back;
-                    host.deliver_list(ListKind::Delta, vec![Entry { started, ..server_entry(server) }]);
+                    host.deliver_list(
+                        ListKind::Delta,
+                        vec![ServerEntry { started_at: started, ..server_entry(server) }],
+                    );
                 }
             }
             // Fifty a second: a warm one gets a half or a third. Twice a quarter of that, over one second.
@@ -251,7 +254,7 @@
     let start = gateways[0].now;
     for id in 0..1_000 {
         for host in &mut gateways {
-            host.request(id, SAFE, WITH_CEILING, S);
+            host.request(id, IDEMPOTENT, WITH_CEILING, S);
             host.advance(10 * MS);
             host.counter_totals.clear();
         }
@@ -275,11 +278,11 @@
 fn a_quota_on_requests_open_at_once_is_split_over_the_gateways() {
     let mut host = Host::new(settings(), 4);
     for id in 0..3 {
-        host.request(id, SAFE, OPEN_LIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, OPEN_LIMITED, 4 * S);
     }
     assert_eq!(host.sent_attempts.len(), 1);
     host.end_attempt(0, 0, host.servers_tried(0)[0], Status::Ok);
-    host.request(9, SAFE, OPEN_LIMITED, 4 * S);
+    host.request(9, IDEMPOTENT, OPEN_LIMITED, 4 * S);
     assert_eq!(host.servers_tried(9).len(), 1);
 }
 
@@ -288,15 +291,15 @@
     let mut host = Host::new(settings(), 2);
     let customer = "large".to_owned();
     let left = 2 * S;
-    host.deliver(Event::Request(Demand {
+    host.deliver(Event::Request(ClientRequest {
         id: 1,
         class: 0,
         plan: 0,
         customer,
-        left,
+        time_left: left,
         units: 900.0,
-        spread: 2,
-        first: 0,
+        gateways: 2,
+        first_gateway: 0,
     }));
     host.advance(2 * S);
     assert!(host.was_refused(1));
@@ -306,8 +309,8 @@
 #[test]
 fn unknown_and_repeated_events_are_passed_over() {
     let mut host = Host::new(settings(), 2);
-    host.deliver(Event::Gone { id: 77 });
-    host.deliver(Event::Started { id: 77, attempt: 0 });
+    host.deliver(Event::ClientGone { id: 77 });
+    host.deliver(Event::StreamStarted { id: 77, attempt: 0 });
     host.deliver(Event::Counted { name: 5, status: Status::Ok, total: 1.0, latency: 1 });
     host.end_attempt(77, 3, 99, Status::Ok);
     let server = send_first_attempt(&mut host, 1, 2);
@@ -322,7 +325,7 @@
 fn a_started_stream_has_no_deadline() {
     let mut host = Host::new(settings(), 2);
     send_first_attempt(&mut host, 1, 0);
-    host.deliver(Event::Started { id: 1, attempt: 0 });
+    host.deliver(Event::StreamStarted { id: 1, attempt: 0 });
     host.advance(10 * S);
     assert!(host.final_answers.is_empty());
     assert!(!host.actions.contains(&Action::Cancel { id: 1, attempt: 0 }));
@@ -334,12 +337,12 @@
     let server = send_first_attempt(&mut host, 1, 0);
     host.end_attempt(1, 0, server, Status::Reset);
     host.advance(S + 100 * MS);
-    host.request(2, SAFE, UNLIMITED, 4 * S);
+    host.request(2, IDEMPOTENT, UNLIMITED, 4 * S);
     assert_eq!(host.servers_tried(2), vec![0], "one request tries it out");
-    host.deliver(Event::Gone { id: 2 });
+    host.deliver(Event::ClientGone { id: 2 });
     host.end_attempt(2, 0, 0, Status::Cancelled);
     host.advance(3 * S);
-    host.request(3, SAFE, UNLIMITED, 4 * S);
+    host.request(3, IDEMPOTENT, UNLIMITED, 4 * S);
     assert_eq!(host.servers_tried(3), vec![0], "and another one later");
 }
 
@@ -347,7 +350,7 @@
 fn many_gateways_share_a_small_fleet_without_a_jam() {
     let mut host = Host::new(Settings { gateways: 24, ..settings() }, 10);
     for id in 0..500 {
-        host.request(id, SAFE, UNLIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
     }
     assert!(host.sent_attempts.len() <= 12, "{} out from one of 24 gateways", host.sent_attempts.len());
 }
@@ -358,14 +361,14 @@
     let mut out: Vec<SentAttempt> = Vec::new();
     let (mut seen, mut most, mut answered) = (0, 0, 0);
     for id in 0..2_000 {
-        host.request(id, SAFE, UNLIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(10 * MS);
         out.extend_from_slice(&host.sent_attempts[seen..]);
         seen = host.sent_attempts.len();
         most = most.max(out.len());
         // Every answer takes 0.6 of the objective, whatever is out.
         while out.first().is_some_and(|sent| sent.at + 600 * MS <= host.now) {
-            host.serve(out.remove(0), 600 * MS, Load::default());
+            host.serve(out.remove(0), 600 * MS, LoadReport::default());
             answered += 1;
         }
     }
@@ -378,13 +381,13 @@
     let mut host = Host::new(Settings { gateways: 24, ..settings() }, 10);
     let (mut out, mut seen, mut most) = (Vec::new(), 0, 0);
     for id in 0..400 {
-        host.request(id, SAFE, UNLIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(10 * MS);
         out.extend_from_slice(&host.sent_attempts[seen..]);
         seen = host.sent_attempts.len();
         most = most.max(out.len());
         while out.first().is_some_and(|sent: &SentAttempt| sent.at + 800 * MS <= host.now) {
-            host.serve(out.remove(0), 800 * MS, Load::default());
+            host.serve(out.remove(0), 800 * MS, LoadReport::default());
         }
     }
     assert!(most <= 4, "{most} out from one of 24 gateways, whose share of the first bound is 3.3");
@@ -394,7 +397,7 @@
 fn work_that_grows_old_lowers_the_bounds_before_any_answer() {
     let mut host = Host::new(Settings { gateways: 1, ..settings() }, 4);
     for id in 0..32 {
-        host.request(id, SAFE, UNLIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
     }
     assert_eq!(host.sent_attempts.len(), 32, "the first bound of eight at each of four servers");
     // No answer for a second, then all at once: less room is left for what comes next.
@@ -415,15 +418,15 @@
     let mut host = Host::new(Settings { gateways: 1, ..settings() }, 1);
     // Three failures eject the only server; a second later one request tries it out.
     for id in 0..3 {
-        host.request(id, UNSAFE, UNLIMITED, 4 * S);
+        host.request(id, NON_IDEMPOTENT, UNLIMITED, 4 * S);
         host.end_attempt(id, 0, 0, Status::Error);
     }
     host.advance(1_100 * MS);
-    host.request(10, SAFE, UNLIMITED, 4 * S);
+    host.request(10, IDEMPOTENT, UNLIMITED, 4 * S);
     assert_eq!(host.servers_tried(10), [0], "it is tried out");
-    host.end_attempt(10, 0, 0, Status::Moot);
+    host.end_attempt(10, 0, 0, Status::NotSent);
     host.advance(9 * S);
-    host.request(11, SAFE, UNLIMITED, 4 * S);
+    host.request(11, IDEMPOTENT, UNLIMITED, 4 * S);
     assert_eq!(host.servers_tried(11), [0], "nothing was learnt, so it is tried out again");
 }
 
@@ -450,7 +453,7 @@
     // A key is known for 4 s, a connection takes 1 s at most, and the process may be held up for 0.15 s on the way.
     for (after, again) in [(2_500 * MS, true), (2_900 * MS, false), (3_500 * MS, false)] {
         let mut set = settings();
-        set.permissions.connect = S;
+        set.permissions.connect_timeout = S;
         let mut host = Host::new(set, 4);
         host.request(1, KEYED, UNLIMITED, 8 * S);
         let first = host.servers_tried(1)[0];
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -4,8 +4,8 @@
 use common::*;
 use pondgw::*;
 
-fn report(held: f64, qps: f64, util: f64) -> Load {
-    Load { inflight: Some(held), util: Some(util), qps: Some(qps), ..Load::default() }
+fn report(held: f64, qps: f64, util: f64) -> LoadReport {
+    LoadReport { inflight: Some(held), util: Some(util), qps: Some(qps), ..LoadReport::default() }
 }
 
 fn many() -> Settings {
@@ -13,21 +13,29 @@
 }
 
 /// Answers a request after 100 ms with a report.
-fn answer(host: &mut Host, id: RequestId, load: Load) {
+fn answer(host: &mut Host, id: RequestId, load: LoadReport) {
     host.advance(100 * MS);
     let (server, attempt, status, latency, closed) =
         (host.servers_tried(id)[0], 0, Status::Ok, 100 * MS, true);
-    host.deliver(Event::Outcome(Outcome { id, attempt, server, status, latency, closed, load }));
+    host.deliver(Event::Outcome(Outcome {
+        id,
+        attempt,
+        server,
+        status,
+        latency,
+        request_done: closed,
+        load,
+    }));
 }
 
 #[test]
 fn a_server_that_reports_a_backlog_is_left_alone_while_it_works_it_off() {
     let mut host = Host::new(many(), 1);
-    host.request(1, SAFE, UNLIMITED, 4 * S);
+    host.request(1, IDEMPOTENT, UNLIMITED, 4 * S);
     answer(&mut host, 1, report(40.0, 8.0, 1.0));
     // Forty at eight a second are worked off in five seconds.
     for id in 2..8 {
-        host.request(id, SAFE, UNLIMITED, 400 * MS);
+        host.request(id, IDEMPOTENT, UNLIMITED, 400 * MS);
         host.advance(500 * MS);
         assert!(
             host.servers_tried(id).is_empty() && host.was_refused(id),
@@ -35,25 +43,25 @@
         );
     }
     host.advance(7 * S);
-    host.request(9, SAFE, UNLIMITED, 4 * S);
+    host.request(9, IDEMPOTENT, UNLIMITED, 4 * S);
     assert_eq!(host.servers_tried(9).len(), 1, "what it said fades");
     answer(&mut host, 9, report(1.0, 8.0, 0.7));
-    host.request(10, SAFE, UNLIMITED, 4 * S);
+    host.request(10, IDEMPOTENT, UNLIMITED, 4 * S);
     assert_eq!(host.servers_tried(10).len(), 1, "a later report stands for it");
 }
 
 #[test]
 fn odd_reports_are_taken_for_none() {
-    let mut load = Load::default();
+    let mut load = LoadReport::default();
     for (name, value) in
         [("busy_reqs", f64::NAN), ("cpu_share", -1.0), ("served_ps", f64::INFINITY), ("x", 1.0)]
     {
-        load.set(name, value);
+        load.set_metric(name, value);
     }
-    assert_eq!(load, Load::default());
+    assert_eq!(load, LoadReport::default());
     let mut host = Host::new(many(), 3);
     for id in 0..300 {
-        host.request(id, SAFE, UNLIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         let server = host.servers_tried(id)[0];
         answer(&mut host, id, report([0.0, 0.5, 0.0][server], [0.0, 1e300, 1e-300][server], 1e300));
     }
@@ -68,7 +76,7 @@
         let mut host = Host::with_seed(many(), 30, seed * 7_919 + 1);
         let entries = (10..20).map(draining_entry).collect();
         host.deliver_list(ListKind::Delta, entries);
-        host.request(1, SAFE, UNLIMITED, 4 * S);
+        host.request(1, IDEMPOTENT, UNLIMITED, 4 * S);
         got[host.servers_tried(1)[0]] += 1;
     }
     // Nine each in the mean; a walk from a random place to the first that is free gives a third to number 20.
@@ -80,20 +88,23 @@
     // Half of the fleet is new: over all gateways each cold server should get 0.42 of a warm one's part or more.
     let (mut warm, mut cold) = (0, 0);
     for seed in 0..60 {
-        let mut host =
-            Host::with_seed(Settings { gateways: 60, rules: rules(), ..settings() }, 20, seed * 131 + 7);
+        let mut host = Host::with_seed(
+            Settings { gateways: 60, server_rules: rules(), ..settings() },
+            20,
+            seed * 131 + 7,
+        );
         host.responsive_servers = (0..20).collect();
         for id in 0..40 {
-            host.request(id, SAFE, UNLIMITED, 4 * S);
+            host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
             host.advance(200 * MS);
         }
         let (start, sent) = (host.now, host.sent_attempts.len());
         host.deliver_list(
             ListKind::Delta,
-            (10..20).map(|n| Entry { started: start, ..server_entry(n) }).collect(),
+            (10..20).map(|n| ServerEntry { started_at: start, ..server_entry(n) }).collect(),
         );
         for id in 100..130 {
-            host.request(id, SAFE, UNLIMITED, 4 * S);
+            host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
             host.advance(200 * MS);
         }
         cold += host.sent_attempts[sent..].iter().filter(|s| s.server >= 10).count();
@@ -104,19 +115,25 @@
     assert!(share < 1.0, "{cold} to ten cold servers, {warm} to ten warm ones");
 }
 
-fn rules() -> Rules {
-    Rules { cold: 17 * S, cold_from: 0.28, fall: 2 * S, fall_multiple: 3.0, ask_within: 0 }
+fn rules() -> ServerRules {
+    ServerRules {
+        slow_start_duration: 17 * S,
+        initial_capacity: 0.28,
+        overload_duration: 2 * S,
+        overload_factor: 3.0,
+        max_watch_interval: 0,
+    }
 }
 
 #[test]
 fn a_server_that_started_long_before_its_list_came_is_warm() {
     let news = |age: Micros| {
-        let mut host = Host::new(Settings { rules: rules(), gateways: 1, ..settings() }, 10);
+        let mut host = Host::new(Settings { server_rules: rules(), gateways: 1, ..settings() }, 10);
         let start = host.now;
-        let entries = (10..20).map(|n| Entry { started: start - age, ..server_entry(n) }).collect();
+        let entries = (10..20).map(|n| ServerEntry { started_at: start - age, ..server_entry(n) }).collect();
         host.deliver_list(ListKind::Full, entries);
         for id in 0..5 {
-            host.request(id, SAFE, UNLIMITED, 4 * S);
+            host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         }
         host.sent_attempts.len()
     };
@@ -128,14 +145,22 @@
 fn out_after(latency: Micros) -> usize {
     let mut host = Host::new(many(), 30);
     for id in 0..60 {
-        host.request(id, SAFE, UNLIMITED, 8 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 8 * S);
         host.advance(latency);
         let Some(&server) = host.servers_tried(id).first() else { continue };
         let (attempt, status, closed, load) = (0, Status::Ok, true, report(3.0, 20.0, 0.7));
-        host.deliver(Event::Outcome(Outcome { id, attempt, server, status, latency, closed, load }));
+        host.deliver(Event::Outcome(Outcome {
+            id,
+            attempt,
+            server,
+            status,
+            latency,
+            request_done: closed,
+            load,
+        }));
     }
     for id in 100..125 {
-        host.request(id, SAFE, UNLIMITED, 8 * S);
+        host.request(id, IDEMPOTENT, UNLIMITED, 8 * S);
     }
     (100..125).filter(|id| !host.servers_tried(*id).is_empty()).count()
 }
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -13,7 +13,7 @@
 
 /// A gateway whose clock is ahead by so much.
 fn gateway(me: u32, ahead: Micros) -> Host {
-    let set = Settings { me, ..settings() };
+    let set = Settings { gateway_index: me, ..settings() };
     let mut host = Host::with_seed(set.clone(), 0, u64::from(me) * 97 + 3);
     host.now += 10_000 * S + ahead;
     host.gateway = Gateway::new(set, u64::from(me) * 97 + 3, host.now);
@@ -30,7 +30,7 @@
     for id in 0..DAY / step {
         for host in &mut hosts {
             std::mem::swap(&mut host.counter_totals, &mut counts);
-            host.request(id, SAFE, RATE_LIMITED, S);
+            host.request(id, IDEMPOTENT, RATE_LIMITED, S);
             host.advance(step);
             std::mem::swap(&mut host.counter_totals, &mut counts);
         }
