--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -20,7 +20,7 @@
 /// The same with a hard ceiling of twice the rate and burst.
 pub const WITH_CEILING: usize = 1;
 /// Two requests open at once, no limit on units.
-pub const OPEN_LIMITED: usize = 2;
+pub const CONCURRENCY_LIMITED: usize = 2;
 pub const UNLIMITED: usize = 3;
 
 pub fn class(idempotency: Idempotency, key_scope: KeyScope) -> Class {
@@ -206,29 +206,27 @@
     }
 
     /// Delivers a request for one unit of the customer "choir", whose requests arrive at two gateways.
-    pub fn request(&mut self, id: RequestId, class: usize, plan: usize, left: Micros) {
-        self.request_from("choir", 2, id, (class, plan, left));
+    pub fn request(&mut self, id: RequestId, class: usize, plan: usize, time_left: Micros) {
+        self.request_from("choir", 2, id, (class, plan, time_left));
     }
 
-    /// Delivers a request for one unit of a customer whose requests arrive at `spread` gateways; `left` is the time
-    /// until its deadline.
+    /// Delivers a request for one unit of a customer whose requests arrive at so many gateways.
     pub fn request_from(
         &mut self,
         customer: &str,
-        spread: u32,
+        gateways: u32,
         id: RequestId,
-        (class, plan, left): (usize, usize, Micros),
+        (class, plan, time_left): (usize, usize, Micros),
     ) {
-        let (customer, units, first) = (customer.to_owned(), 1.0, 0);
         self.deliver(Event::Request(ClientRequest {
             id,
             class,
             plan,
-            customer,
-            time_left: left,
-            units,
-            gateways: spread,
-            first_gateway: first,
+            customer: customer.to_owned(),
+            time_left,
+            units: 1.0,
+            gateways,
+            first_gateway: 0,
         }));
     }
 
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -278,11 +278,11 @@
 fn a_quota_on_requests_open_at_once_is_split_over_the_gateways() {
     let mut host = Host::new(settings(), 4);
     for id in 0..3 {
-        host.request(id, IDEMPOTENT, OPEN_LIMITED, 4 * S);
+        host.request(id, IDEMPOTENT, CONCURRENCY_LIMITED, 4 * S);
     }
     assert_eq!(host.sent_attempts.len(), 1);
     host.end_attempt(0, 0, host.servers_tried(0)[0], Status::Ok);
-    host.request(9, IDEMPOTENT, OPEN_LIMITED, 4 * S);
+    host.request(9, IDEMPOTENT, CONCURRENCY_LIMITED, 4 * S);
     assert_eq!(host.servers_tried(9).len(), 1);
 }
 
