--- a/tests/combinations.rs
+++ b/tests/combinations.rs
@@ -65,7 +65,8 @@
     }
     for server in [2, 3] {
         let sent = host.sent_attempts.iter().filter(|s| s.server == server && s.at >= start).count();
-        // A warm server got 25 a second. A cold one falls at twice a quarter of that for one second, over all gateways.
+        // A warm server got 25 a second. A cold one has a quarter of that capacity, and is overloaded by twice its
+        // capacity for a second, over all gateways.
         assert!(sent <= 13, "{sent} attempts to a cold server in its first second");
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -230,34 +230,24 @@
         }));
     }
 
-    /// Ends an attempt with this status, 100 ms after it was sent as far as the gateway is told.
+    /// Ends an attempt with this status and a latency of 100 ms. The status `Ok` closes the request.
     pub fn end_attempt(&mut self, id: RequestId, attempt: u32, server: ServerId, status: Status) {
-        let (closed, load) = (status == Status::Ok, LoadReport::default());
-        let latency = 100 * MS;
         self.deliver(Event::Outcome(Outcome {
             id,
             attempt,
             server,
             status,
-            latency,
-            request_done: closed,
-            load,
+            latency: 100 * MS,
+            request_done: status == Status::Ok,
+            load: LoadReport::default(),
         }));
     }
 
     /// Lets a server answer an attempt with this latency and load report, which closes the request.
     pub fn serve(&mut self, sent: SentAttempt, latency: Micros, load: LoadReport) {
         let SentAttempt { id, attempt, server, .. } = sent;
-        let (status, closed) = (Status::Ok, true);
-        self.deliver(Event::Outcome(Outcome {
-            id,
-            attempt,
-            server,
-            status,
-            latency,
-            request_done: closed,
-            load,
-        }));
+        let (status, request_done) = (Status::Ok, true);
+        self.deliver(Event::Outcome(Outcome { id, attempt, server, status, latency, request_done, load }));
     }
 
     /// Advances the clock to a time, and on the way delivers timers and scheduled events when they are due.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -106,8 +106,8 @@
 #[test]
 fn invalid_messages_of_peers_are_ignored() {
     let mut host = Host::new(peer_settings(0, GATEWAYS), 4);
-    // Byte 0 is the kind (0 asks for units, 1 grants them, 2 denies them), 1 to 8 are the customer, 9 to 12 the units as
-    // a float. A message that asks goes on with the plan in byte 13.
+    // Byte 0 is the kind (0 asks for units, 1 grants them, 2 denies them), bytes 1 to 8 are the customer, 9 to 12 the
+    // units as a float. In a message that asks, byte 13 is the plan.
     let mut unknown_plan = vec![0; 16];
     unknown_plan[9..13].copy_from_slice(&1.0f32.to_le_bytes());
     unknown_plan[13] = 200;
@@ -169,7 +169,8 @@
     for server in 0..6 {
         let in_first_second = |s: &&SentAttempt| s.server == server && s.at >= start && s.at < start + S;
         let sent: usize = hosts.iter().map(|h| h.sent_attempts.iter().filter(in_first_second).count()).sum();
-        // A warm server gets 30 a second. A cold one falls at twice a quarter of that for one second.
+        // A warm server gets 30 a second. A cold one has a quarter of that capacity, and is overloaded by twice its
+        // capacity for a second.
         assert!(sent <= 15, "{sent} attempts to cold server {server} in its first second");
     }
     let later: usize = hosts
