--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,30 +1,30 @@
-//! Cold servers under the sum of what all gateways send: each knows only its own part of the traffic, which is
-//! uneven, and one that restarts has forgotten what it sent.
+//! Slow start with many gateways: the sum of what all of them send must not overload a cold server, although each knows
+//! only its own share of the traffic, the shares are uneven, and a gateway that restarts has forgotten what it sent.
 
 mod common;
 use common::*;
 use pondgw::*;
 
-/// A deployment's figures, and what happens on its day.
+/// The figures of a deployment, and what happens to it.
 #[derive(Debug, Clone, Copy)]
-struct Day {
+struct Scenario {
     gateways: u32,
-    /// Requests a second that a warm server can do.
+    /// Requests a second that a warm server can serve.
     capacity: f64,
-    /// Traffic over what all servers can do, before the start of the cold ones and from then on.
+    /// Traffic as a multiple of what all servers could serve if warm, before the cold servers start and after.
     load: (f64, f64),
-    /// How many times the mean the busiest gateway gets.
-    uneven: f64,
-    /// Gateways that restart in a second, as a share of all.
-    restarts: f64,
-    /// Time from the start of the cold servers until the list tells of it.
-    late: Micros,
-    /// Servers that start anew, of all.
-    cold: usize,
-    /// Whether these are new ones, and as many others leave.
+    /// Traffic of the busiest gateway, as a multiple of the mean.
+    skew: f64,
+    /// Share of the gateways that restart in a second.
+    restart_rate: f64,
+    /// Time from the start of the cold servers until gateways are told.
+    list_delay: Micros,
+    /// Number of servers that start.
+    cold_servers: usize,
+    /// The started servers are new ones, and replace as many others. Otherwise, servers restart.
     replaced: bool,
-    /// Whether servers report their load.
-    reports: bool,
+    /// Servers report their load.
+    load_reports: bool,
     seed: u64,
 }
 
@@ -41,197 +41,229 @@
     }
 }
 
-/// Requests that a cold server may get in a window that begins so long after its start, without what chance allows.
-fn allowed(day: &Day, age: Micros) -> f64 {
+/// Capacity of a server of this age, as a share of its capacity when warm.
+fn warmth(age: Micros) -> f64 {
+    let share = (age as f64 / rules().slow_start_duration as f64).min(1.0);
+    rules().initial_capacity + (1.0 - rules().initial_capacity) * share
+}
+
+/// Requests within the overload duration that overload a cold server of this age.
+fn overload_limit(scenario: &Scenario, age: Micros) -> f64 {
     let rules = rules();
-    let share = (age as f64 / rules.slow_start_duration as f64).min(1.0);
-    let warm = rules.initial_capacity + (1.0 - rules.initial_capacity) * share;
-    rules.overload_factor * warm * day.capacity * rules.overload_duration as f64 / S as f64
+    rules.overload_factor * warmth(age) * scenario.capacity * rules.overload_duration as f64 / S as f64
 }
 
-/// A fixed sequence of numbers from 0 to 1.
-struct Chance(u64);
+/// Random numbers from 0 to 1 from a fixed seed.
+struct Random(u64);
 
-impl Chance {
+impl Random {
     fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
-/// Plays a day. Gives what the most burdened cold server got in any window, over N + 2 x root of N + 2, and the
-/// part of the traffic that cold servers got in the last third of the time in which they warm, over their even part.
-fn play(day: Day) -> (f64, f64) {
-    let set = Settings { gateways: day.gateways, server_rules: rules(), ..settings() };
-    let fresh = |n: u64, now: Micros, list: Vec<ServerEntry>| {
-        let mut host =
-            Host::with_seed(set.clone(), 0, day.seed.wrapping_add(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
-        host.gateway = Gateway::new(set.clone(), (day.seed + n).wrapping_mul(0x9e37_79b9_7f4a_7c15), now);
+/// An attempt that a simulated server is going to answer.
+struct Outstanding {
+    answered_at: Micros,
+    gateway: usize,
+    sent: SentAttempt,
+    status: Status,
+}
+
+/// Result of a simulation.
+#[derive(Clone, Copy)]
+struct Measured {
+    /// The most requests that a cold server got within the overload duration, over the bound N + 2 sqrt(N) + 2, where N
+    /// is the overload limit. The rest of the bound allows for chance.
+    overload: f64,
+    /// Requests that cold servers got in the last third of slow start, over an even share of all requests.
+    share: f64,
+}
+
+fn simulate(scenario: Scenario) -> Measured {
+    let set = Settings { gateways: scenario.gateways, server_rules: rules(), ..settings() };
+    let new_host = |n: u64, now: Micros, list: Vec<ServerEntry>| {
+        let seed = scenario.seed.wrapping_add(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let mut host = Host::with_seed(set.clone(), 0, seed);
+        host.gateway =
+            Gateway::new(set.clone(), (scenario.seed + n).wrapping_mul(0x9e37_79b9_7f4a_7c15), now);
         host.now = now;
         host.deliver_list(ListKind::Cached, list);
         host
     };
-    let first_cold = if day.replaced { SERVERS } else { 0 };
-    let whole = |start: Option<Micros>| -> Vec<ServerEntry> {
-        let old = (0..SERVERS).filter(|n| start.is_none() || *n >= day.cold).map(server_entry);
-        let cold = start.map(|at| {
-            (0..day.cold).map(move |n| ServerEntry { started_at: at, ..server_entry(first_cold + n) })
+    let first_cold = if scenario.replaced { SERVERS } else { 0 };
+    // The whole list, without the cold servers or with them and the time of their start.
+    let list = |start: Option<Micros>| -> Vec<ServerEntry> {
+        let old = (0..SERVERS).filter(|n| start.is_none() || *n >= scenario.cold_servers).map(server_entry);
+        let cold = start.map(|started_at| {
+            (0..scenario.cold_servers)
+                .map(move |n| ServerEntry { started_at, ..server_entry(first_cold + n) })
         });
         old.chain(cold.into_iter().flatten()).collect()
     };
-    let is_cold = |server: usize| (first_cold..first_cold + day.cold).contains(&server);
+    let is_cold = |server: usize| (first_cold..first_cold + scenario.cold_servers).contains(&server);
     let begin = 100 * S;
-    let mut chance = Chance(day.seed);
-    let mut hosts: Vec<Host> = (0..u64::from(day.gateways)).map(|n| fresh(n, begin, whole(None))).collect();
-    // The busiest gets `uneven` times the mean, and each next one less, as far as there is traffic left.
+    let mut random = Random(scenario.seed);
+    let mut hosts: Vec<Host> =
+        (0..u64::from(scenario.gateways)).map(|n| new_host(n, begin, list(None))).collect();
+    // The busiest gateway gets `skew` times the mean before scaling, each next one less.
     let mut shares: Vec<f64> =
-        (0..hosts.len()).map(|n| day.uneven.powf(1.0 - 2.0 * n as f64 / hosts.len() as f64)).collect();
+        (0..hosts.len()).map(|n| scenario.skew.powf(1.0 - 2.0 * n as f64 / hosts.len() as f64)).collect();
     let sum: f64 = shares.iter().sum();
-    shares.iter_mut().for_each(|s| *s /= sum);
-    let (warm_up, cold) = (6 * S, rules().slow_start_duration);
-    let start = begin + warm_up;
-    let (mut id, mut made, mut now) = (0u64, hosts.len() as u64, begin);
+    shares.iter_mut().for_each(|share| *share /= sum);
+    let (before_start, slow_start) = (6 * S, rules().slow_start_duration);
+    let start = begin + before_start;
+    let (mut last_id, mut hosts_made, mut now) = (0u64, hosts.len() as u64, begin);
     let mut seen = vec![0; hosts.len()];
-    let mut got: Vec<Vec<Micros>> = vec![Vec::new(); 2 * SERVERS];
-    // When each server has worked off what it holds, and what is to be answered when, by which gateway's attempt.
-    let mut free = [0; 2 * SERVERS];
-    let mut out: Vec<(Micros, usize, u64, u32, usize, Status)> = Vec::new();
-    while now < start + cold {
+    // For each server, when requests were sent to it, and when it has served all of them.
+    let mut received: Vec<Vec<Micros>> = vec![Vec::new(); 2 * SERVERS];
+    let mut free_at = [0; 2 * SERVERS];
+    let mut outstanding: Vec<Outstanding> = Vec::new();
+    while now < start + slow_start {
         now += STEP;
-        let told = now >= start + day.late;
-        if told && now < start + day.late + STEP {
+        let told = now >= start + scenario.list_delay;
+        if told && now < start + scenario.list_delay + STEP {
             for host in &mut hosts {
                 host.now = now;
-                host.deliver_list(ListKind::Full, whole(Some(start)));
+                host.deliver_list(ListKind::Full, list(Some(start)));
             }
         }
-        let total = day.capacity * SERVERS as f64 * if now < start { day.load.0 } else { day.load.1 };
+        let load = if now < start { scenario.load.0 } else { scenario.load.1 };
+        let total = scenario.capacity * SERVERS as f64 * load;
         for (n, host) in hosts.iter_mut().enumerate() {
             let mut due = shares[n] * total * STEP as f64 / S as f64;
             while due > 0.0 {
-                if chance.next() < due {
-                    id += 1;
+                if random.next() < due {
+                    last_id += 1;
                     host.now = now;
-                    host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
+                    host.request(last_id, IDEMPOTENT, UNLIMITED, 4 * S);
                 }
                 due -= 1.0;
             }
             host.run_until(now);
-            if chance.next() < day.restarts * STEP as f64 / S as f64 {
-                made += 1;
-                *host = fresh(made, now, whole(told.then_some(start)));
-                out.retain(|o| o.1 != n);
+            if random.next() < scenario.restart_rate * STEP as f64 / S as f64 {
+                hosts_made += 1;
+                *host = new_host(hosts_made, now, list(told.then_some(start)));
+                outstanding.retain(|o| o.gateway != n);
                 seen[n] = 0;
             }
-            for &SentAttempt { at, id, attempt, server } in &host.sent_attempts[seen[n]..] {
-                got[server].push(at);
-                let aged = now.saturating_sub(start) as f64 / cold as f64;
-                let warm = rules().initial_capacity + (1.0 - rules().initial_capacity) * aged.min(1.0);
-                let speed = day.capacity * if is_cold(server) && now >= start { warm } else { 1.0 };
-                // One that holds more than a second's work turns away.
-                let (status, done) = if free[server] > at + S {
+            for &sent in &host.sent_attempts[seen[n]..] {
+                let SentAttempt { at, server, .. } = sent;
+                received[server].push(at);
+                let warmth = if is_cold(server) && now >= start { warmth(now - start) } else { 1.0 };
+                let speed = scenario.capacity * warmth;
+                // A server that holds more than a second of work declines requests.
+                let (status, answered_at) = if free_at[server] > at + S {
                     (Status::Declined, at + 5 * MS)
                 } else {
-                    free[server] = free[server].max(at) + (S as f64 / speed) as Micros;
-                    (Status::Ok, free[server] + 5 * MS)
+                    free_at[server] = free_at[server].max(at) + (S as f64 / speed) as Micros;
+                    (Status::Ok, free_at[server] + 5 * MS)
                 };
-                out.push((done, n, id, attempt, server, status));
+                outstanding.push(Outstanding { answered_at, gateway: n, sent, status });
             }
             seen[n] = host.sent_attempts.len();
         }
-        let (due, rest) = out.into_iter().partition(|o| o.0 <= now);
-        out = rest;
-        for (done, n, id, attempt, server, status) in due {
-            let lately = got[server].iter().rev().take_while(|at| **at + S > now).count() as f64;
+        let (due, rest) = outstanding.into_iter().partition(|o| o.answered_at <= now);
+        outstanding = rest;
+        for Outstanding { answered_at, gateway, sent, status } in due {
+            let SentAttempt { at, id, attempt, server } = sent;
+            let in_last_second = received[server].iter().rev().take_while(|at| **at + S > now).count() as f64;
+            let work_left = free_at[server].saturating_sub(now) as f64 / S as f64;
             let reported = LoadReport {
-                inflight: Some((free[server].saturating_sub(now) as f64 / S as f64 * day.capacity).ceil()),
-                util: Some((lately / day.capacity).min(1.0)),
-                qps: Some(lately.min(day.capacity)),
+                inflight: Some((work_left * scenario.capacity).ceil()),
+                util: Some((in_last_second / scenario.capacity).min(1.0)),
+                qps: Some(in_last_second.min(scenario.capacity)),
                 service_time_ms: None,
             };
-            let load = if day.reports { reported } else { LoadReport::default() };
-            let sent = hosts[n]
-                .sent_attempts
-                .iter()
-                .rev()
-                .find(|s| (s.id, s.attempt) == (id, attempt))
-                .map_or(done, |s| s.at);
-            let (latency, closed) = (done - sent, status == Status::Ok);
-            hosts[n].now = now;
-            hosts[n].deliver(Event::Outcome(Outcome {
+            let load = if scenario.load_reports { reported } else { LoadReport::default() };
+            let (latency, request_done) = (answered_at - at, status == Status::Ok);
+            hosts[gateway].now = now;
+            hosts[gateway].deliver(Event::Outcome(Outcome {
                 id,
                 attempt,
                 server,
                 status,
                 latency,
-                request_done: closed,
+                request_done,
                 load,
             }));
         }
     }
-    let (mut worst, mut late, mut all) = (0.0f64, 0, 0);
-    for (server, times) in got.iter().enumerate() {
-        let third = times.iter().filter(|at| **at >= start + cold / 3 * 2).count();
-        all += third;
+    let (mut overload, mut late_to_cold, mut late_to_all) = (0.0f64, 0, 0);
+    for (server, times) in received.iter().enumerate() {
+        let in_last_third = times.iter().filter(|at| **at >= start + slow_start / 3 * 2).count();
+        late_to_all += in_last_third;
         if !is_cold(server) {
             continue;
         }
-        late += third;
-        // Windows that begin with a send, from when all had been told.
-        let told: Vec<Micros> = times.iter().copied().filter(|at| *at >= start + day.late + STEP).collect();
-        for (first, at) in told.iter().enumerate() {
-            let count =
-                told[first..].iter().take_while(|t| **t < at + rules().overload_duration).count() as f64;
-            let n = allowed(&day, at - start);
-            worst = worst.max(count / (n + 2.0 * n.sqrt() + 2.0));
+        late_to_cold += in_last_third;
+        // Each send, once all gateways have been told, begins a window of the overload duration.
+        let sends: Vec<Micros> =
+            times.iter().copied().filter(|at| *at >= start + scenario.list_delay + STEP).collect();
+        for (first, at) in sends.iter().enumerate() {
+            let window_end = at + rules().overload_duration;
+            let count = sends[first..].iter().take_while(|t| **t < window_end).count() as f64;
+            let n = overload_limit(&scenario, at - start);
+            overload = overload.max(count / (n + 2.0 * n.sqrt() + 2.0));
         }
     }
-    (worst, late as f64 / all as f64 * SERVERS as f64 / day.cold as f64)
+    let share = late_to_cold as f64 / late_to_all as f64 * SERVERS as f64 / scenario.cold_servers as f64;
+    Measured { overload, share }
 }
 
 #[test]
-fn what_all_gateways_send_stays_within_what_a_cold_server_bears() {
-    let days = |gateways: u32| {
-        let day = Day {
+fn all_gateways_together_do_not_overload_a_cold_server() {
+    let scenarios = |gateways: u32| {
+        let base = Scenario {
             gateways,
             capacity: 6.0,
             load: (0.6, 0.9),
-            uneven: 1.0,
-            restarts: 0.0,
-            late: 0,
-            cold: 6,
+            skew: 1.0,
+            restart_rate: 0.0,
+            list_delay: 0,
+            cold_servers: 6,
             replaced: false,
-            reports: true,
+            load_reports: true,
             seed: 17 + u64::from(gateways),
         };
         [
-            Day { load: (0.1, 1.4), ..day },
-            Day { capacity: 30.0, uneven: 5.0, late: S, ..day },
-            Day { uneven: 5.0, restarts: 0.3, late: 3 * S, ..day },
-            Day { load: (0.1, 1.4), uneven: 3.0, restarts: 0.1, cold: 12, ..day },
-            Day { load: (0.3, 2.0), reports: false, ..day },
-            Day { load: (0.9, 1.4), restarts: 0.2, cold: 12, reports: false, ..day },
-            Day { load: (0.1, 1.0), capacity: 30.0, cold: 1, ..day },
-            Day { load: (0.6, 1.1), cold: 12, replaced: true, late: S, uneven: 3.0, ..day },
-            Day { load: (0.6, 1.1), cold: 12, replaced: true, restarts: 0.1, reports: false, ..day },
+            Scenario { load: (0.1, 1.4), ..base },
+            Scenario { capacity: 30.0, skew: 5.0, list_delay: S, ..base },
+            Scenario { skew: 5.0, restart_rate: 0.3, list_delay: 3 * S, ..base },
+            Scenario { load: (0.1, 1.4), skew: 3.0, restart_rate: 0.1, cold_servers: 12, ..base },
+            Scenario { load: (0.3, 2.0), load_reports: false, ..base },
+            Scenario { load: (0.9, 1.4), restart_rate: 0.2, cold_servers: 12, load_reports: false, ..base },
+            Scenario { load: (0.1, 1.0), capacity: 30.0, cold_servers: 1, ..base },
+            Scenario { load: (0.6, 1.1), cold_servers: 12, replaced: true, list_delay: S, skew: 3.0, ..base },
+            Scenario {
+                load: (0.6, 1.1),
+                cold_servers: 12,
+                replaced: true,
+                restart_rate: 0.1,
+                load_reports: false,
+                ..base
+            },
         ]
     };
-    let (mut report, mut worst_of_all) = (String::new(), 0.0f64);
+    let (mut report, mut worst_overload) = (String::new(), 0.0f64);
     for gateways in [2, 20, 30, 300] {
-        let plays: Vec<_> =
-            days(gateways).into_iter().map(|day| std::thread::spawn(move || (day, play(day)))).collect();
-        let plays: Vec<_> = plays.into_iter().map(|p| p.join().expect("it is played")).collect();
-        for (day, (excess, fed)) in &plays {
-            report += &format!("{excess:.2} of the bound, fed {fed:.2} of an even part: {day:?}\n");
-            // Guards the other way: a cold server that gets nothing is of no use by the time it is warm.
-            assert!(*fed >= 0.2, "fed {fed:.2} of an even part: {day:?}");
+        let running: Vec<_> = scenarios(gateways)
+            .into_iter()
+            .map(|scenario| std::thread::spawn(move || (scenario, simulate(scenario))))
+            .collect();
+        let results: Vec<_> = running.into_iter().map(|r| r.join().expect("a simulation")).collect();
+        for (scenario, Measured { overload, share }) in &results {
+            report += &format!("{overload:.2} of the bound, {share:.2} of an even share: {scenario:?}\n");
+            // Guards against the opposite fault: a cold server that gets nothing serves nobody while it warms up.
+            assert!(*share >= 0.2, "cold servers got {share:.2} of an even share: {scenario:?}");
         }
-        let worst = plays.iter().map(|p| p.1 .0).fold(0.0, f64::max);
-        let fed = plays.iter().map(|p| p.1 .1).fold(f64::MAX, f64::min);
-        worst_of_all = worst_of_all.max(worst);
+        let overload = results.iter().map(|r| r.1.overload).fold(0.0, f64::max);
+        let share = results.iter().map(|r| r.1.share).fold(f64::MAX, f64::min);
+        worst_overload = worst_overload.max(overload);
         report += &format!(
-            "{gateways} gateways: {worst:.2} of the bound at most, fed {fed:.2} of an even part at least\n"
+            "{gateways} gateways: at most {overload:.2} of the bound, at least {share:.2} of an even share\n"
         );
     }
-    assert!(worst_of_all <= 1.0, "{report}");
+    assert!(worst_overload <= 1.0, "{report}");
 }
