--- a/limeway/src/upstream.rs
+++ b/limeway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Servers: as discovery lists them, the connections to them, and attempts over these.
+//! The servers behind the limiter: the list of them, connections to them, and attempts.
 
 pub mod attempts;
 pub mod servers;
--- a/limeway/src/upstream/attempts.rs
+++ b/limeway/src/upstream/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at servers, and the outcome of each.
+//! Sends attempts to servers and reports the outcome of each.
 
 use crate::clock::Clock;
 use crate::log_limiter::LogLimiter;
@@ -15,32 +15,32 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// A client's request as it goes on to servers.
+/// A client's request in the form in which it is sent to servers.
 #[derive(Debug)]
 pub struct ForwardedRequest {
-    /// Request line and headers, without the last empty line and what depends on the attempt.
+    /// Request line and headers, without the empty line at the end and the headers that depend on the attempt.
     pub head: Vec<u8>,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
 /// An attempt to be made.
 pub struct AttemptSpec {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// Number of the attempt.
+    /// Number of the attempt within its request.
     pub number: u32,
-    /// Where it goes.
+    /// The server to send it to.
     pub server: ServerId,
-    /// What is sent.
+    /// The request to send.
     pub forward: Rc<ForwardedRequest>,
-    /// Until when an answer is waited for, by the module's clock.
+    /// Time by which the server has to answer, on the module's clock.
     pub deadline: Micros,
-    /// Cleared once its request is over or it has been told to end: nothing is written from then on.
+    /// Cleared when the request has ended or the attempt has been stopped: the request is not written after that.
     pub may_write: Rc<Cell<bool>>,
 }
 
-/// Makes attempts over the pools' connections.
+/// Makes attempts over connections of the pools.
 pub struct AttemptRunner {
     pools: Rc<ServerPools>,
     clock: Rc<Clock>,
@@ -49,7 +49,7 @@
 }
 
 impl AttemptRunner {
-    /// Attempts over these pools, whose ends go to the sink.
+    /// A runner that reports the outcomes of attempts to the sink.
     pub fn new(
         pools: Rc<ServerPools>,
         clock: Rc<Clock>,
@@ -59,92 +59,93 @@
         Rc::new(AttemptRunner { pools, clock, log_limiter, sink })
     }
 
-    /// Makes an attempt and reports how it ended. `stopped` ends it before its time: its connection is closed by the
-    /// time of the report, so that no further attempt can overlap with it.
-    pub fn start(self: &Rc<Self>, start: AttemptSpec, stopped: oneshot::Receiver<Status>) {
-        self.pools.count_out(start.server, true);
+    /// Makes an attempt and reports its outcome. A status received on `stopped` ends the attempt early. Its connection is
+    /// closed before the outcome is reported, so that it cannot overlap with a further attempt.
+    pub fn start(self: &Rc<Self>, spec: AttemptSpec, stopped: oneshot::Receiver<Status>) {
+        self.pools.attempt_started(spec.server);
         let this = self.clone();
         tokio::task::spawn_local(async move {
             let written = Cell::new(false);
             let end = tokio::select! {
                 biased;
-                end = this.attempt(&start, &written) => end,
-                // Stopped before its last byte was handed over, it cannot have run.
+                end = this.attempt(&spec, &written) => end,
+                // If the request was not written completely, the server cannot have run it.
                 status = stopped => {
                     if written.get() { status.unwrap_or(Status::Cancelled) } else { Status::NotSent }.into()
                 }
             };
-            (this.sink)(NetworkEvent::AttemptEnded { id: start.id, number: start.number, end });
-            this.pools.count_out(start.server, false);
+            (this.sink)(NetworkEvent::AttemptEnded { id: spec.id, number: spec.number, end });
+            this.pools.attempt_ended(spec.server);
         });
     }
 
-    /// Whether a body that ended with its connection is the whole answer to its request, as far as that can be told:
-    /// it is if the server lives on, and if no second answer is hidden in it.
-    fn is_whole(&self, server: ServerId, began: Instant, body: &[u8]) -> bool {
-        !body.is_empty() && !http::holds_status_line(body) && self.pools.is_alive(server, began)
+    /// Whether a body that is delimited by the end of its connection is complete, as far as that can be known: the server
+    /// must still be up, and no second response may be contained in the body.
+    fn is_complete(&self, server: ServerId, started: Instant, body: &[u8]) -> bool {
+        !body.is_empty() && !http::holds_status_line(body) && self.pools.seems_up_since(server, started)
     }
 
-    async fn attempt(&self, start: &AttemptSpec, written: &Cell<bool>) -> End {
-        let (pools, began) = (&self.pools, Instant::now());
-        let mut conn = match pools.take(start.server) {
+    async fn attempt(&self, spec: &AttemptSpec, written: &Cell<bool>) -> End {
+        let (pools, started) = (&self.pools, Instant::now());
+        let mut conn = match pools.take(spec.server) {
             Some(Checkout::Idle(conn)) => conn,
             Some(Checkout::Connect(address, held)) => {
-                match timeout(pools.dial_timeout, Conn::open(address, held)).await {
+                match timeout(pools.connect_timeout, Conn::open(address, held)).await {
                     Ok(Ok(conn)) => {
-                        // What came with the connection may speak against this attempt: a process that was held up
-                        // finds both at once. So the others that the same look at the network woke run first.
+                        // After a pause of this process, the runtime may find the connection established and at the
+                        // same time an event that forbids this attempt. Tasks woken by such events run first.
                         yield_now().await;
                         conn
                     }
-                    Ok(Err(e)) if is_own_limit(&e) => {
-                        self.log_limiter.warn(format_args!("no connection to server {}: {e}", start.server));
+                    Ok(Err(e)) if is_local_error(&e) => {
+                        self.log_limiter
+                            .warn(format_args!("cannot open a connection to server {}: {e}", spec.server));
                         return Status::NotSent.into();
                     }
                     Ok(Err(e)) => {
-                        log::debug!("server {} at {address} takes no connection: {e}", start.server);
+                        log::debug!("connection to server {} at {address} failed: {e}", spec.server);
                         return Status::ConnectFailed.into();
                     }
                     Err(_) => {
-                        log::debug!("server {} at {address} takes no connection in time", start.server);
+                        log::debug!("connection to server {} at {address} timed out", spec.server);
                         return Status::ConnectFailed.into();
                     }
                 }
             }
-            // No address, or all connections that this process may hold are busy.
+            // The server has no address, or this process has no connection left.
             None => return Status::NotSent.into(),
         };
-        // While the connection came up the client may have left, the attempt may have been told to end, and the
-        // server may have been drained or replaced: nothing is sent on then, and what is sound is kept for others.
-        if !start.may_write.get() {
-            pools.give_back(start.server, conn);
+        // While the connection was established, the client may have left, the attempt may have been stopped, or the
+        // server may have been drained or replaced. Nothing is sent then; a connection that is still valid is kept.
+        if !spec.may_write.get() {
+            pools.give_back(spec.server, conn);
             return Status::NotSent.into();
         }
-        if !pools.serves(start.server, conn.to) {
+        if !pools.is_in_service_at(spec.server, conn.to) {
             return Status::NotSent.into();
         }
-        // What is left now: the connection may have taken long to come up.
-        let message = message(&start.forward, start.deadline.saturating_sub(self.clock.now()));
+        // The time left is computed only now, as establishing the connection may have taken long.
+        let message = request_bytes(&spec.forward, spec.deadline.saturating_sub(self.clock.now()));
         if let Err(e) = conn.write(&message, written).await {
-            log::debug!("server {} broke off before the request was written: {e}", start.server);
-            // Broke before the last byte was handed over: it cannot have run.
+            log::debug!("connection to server {} broke before the request was written: {e}", spec.server);
+            // The request was not written completely, so the server cannot have run it.
             return Status::ConnectFailed.into();
         }
         let Reply { head, bytes, body, keep, ended_by_close } = match conn.read().await {
             Ok(reply) => reply,
             Err(Broken::Ended(e)) => {
-                log::debug!("server {} broke off: {e}", start.server);
-                pools.note_reset(start.server);
+                log::debug!("connection to server {} broke: {e}", spec.server);
+                pools.record_reset(spec.server);
                 return Status::Reset.into();
             }
-            // The server is well and has run the request: this connection goes, the others stay.
+            // The server is up and has run the request: only this connection is closed.
             Err(e) => {
-                log::debug!("server {}: {e}", start.server);
+                log::debug!("server {}: {e}", spec.server);
                 return Status::Error.into();
             }
         };
-        if ended_by_close && head.status == 200 && !self.is_whole(start.server, began, &body) {
-            log::debug!("server {}: an answer without a length may have been cut", start.server);
+        if ended_by_close && head.status == 200 && !self.is_complete(spec.server, started, &body) {
+            log::debug!("server {}: response without a length may be truncated", spec.server);
             return Status::Error.into();
         }
         let declined = head.header(&bytes, "srv-declined") == Some(b"1");
@@ -154,20 +155,20 @@
             _ => Status::Error,
         };
         if keep {
-            pools.give_back(start.server, conn);
+            pools.give_back(spec.server, conn);
         }
         let served = (status == Status::Ok).then(|| {
             let mut headers = Vec::new();
-            head.copy_headers(&bytes, &PASSED_BACK, &mut headers);
+            head.copy_headers(&bytes, &FORWARDED_HEADERS, &mut headers);
             Served { headers, body }
         });
-        let load = head.header(&bytes, "srv-load").map(load).unwrap_or_default();
+        let load = head.header(&bytes, "srv-load").map(parse_load_report).unwrap_or_default();
         End { status, served, load }
     }
 }
 
-/// Reads a load report. Pairs that cannot be read are passed over: the answer itself is good.
-fn load(text: &[u8]) -> LoadReport {
+/// Parses a load report. Invalid pairs are ignored, as the response itself is valid.
+fn parse_load_report(text: &[u8]) -> LoadReport {
     let mut load = LoadReport::default();
     for pair in std::str::from_utf8(text).unwrap_or_default().split(',') {
         if let Some((name, value)) = pair.split_once('=') {
@@ -179,8 +180,8 @@
     load
 }
 
-/// Headers of an answer that go to the client: they tell how to read the body, or concern caches.
-const PASSED_BACK: [&str; 7] = [
+/// Headers of a server's response that are forwarded to the client: those that describe the body or control caches.
+const FORWARDED_HEADERS: [&str; 7] = [
     "content-type",
     "content-encoding",
     "content-language",
@@ -190,22 +191,22 @@
     "vary",
 ];
 
-/// System errors that speak of what this process or machine has run out of, not of the server.
-const OWN_LIMITS: [i32; 6] =
+/// System errors caused by a lack of resources in this process or on this machine, and not by the server.
+const LOCAL_ERRORS: [i32; 6] =
     [libc::EMFILE, libc::ENFILE, libc::EADDRNOTAVAIL, libc::ENOBUFS, libc::ENOMEM, libc::EAGAIN];
 
-/// Whether a connection failed for want of something on this machine.
-fn is_own_limit(error: &io::Error) -> bool {
-    error.raw_os_error().is_some_and(|code| OWN_LIMITS.contains(&code))
+/// Whether a connection failed because this process or machine lacks resources.
+fn is_local_error(error: &io::Error) -> bool {
+    error.raw_os_error().is_some_and(|code| LOCAL_ERRORS.contains(&code))
 }
 
-/// The bytes of an attempt: the client's request, with the time that is left.
-fn message(forward: &ForwardedRequest, left: Micros) -> Vec<u8> {
+/// The request as written to a server, with the headers that depend on the attempt.
+fn request_bytes(forward: &ForwardedRequest, time_left: Micros) -> Vec<u8> {
     let mut digits = itoa::Buffer::new();
     let mut message = Vec::with_capacity(forward.head.len() + forward.body.len() + 64);
     message.extend_from_slice(&forward.head);
     message.extend_from_slice(b"Req-Deadline-Ms: ");
-    message.extend_from_slice(digits.format((left / 1_000).max(1)).as_bytes());
+    message.extend_from_slice(digits.format((time_left / 1_000).max(1)).as_bytes());
     if !forward.body.is_empty() || forward.head.starts_with(b"POST") {
         message.extend_from_slice(b"\r\nContent-Length: ");
         message.extend_from_slice(digits.format(forward.body.len()).as_bytes());
--- a/limeway/src/upstream/servers.rs
+++ b/limeway/src/upstream/servers.rs
@@ -1,4 +1,4 @@
-//! Servers as discovery lists them, and pools of connections to them.
+//! The servers that discovery lists, and a pool of connections to each.
 
 use crate::discovery::catalog::{Health, ServerList};
 use crate::network::connection::{Conn, IdleState};
@@ -11,218 +11,231 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Part of the time after which a server closes an idle connection that it is kept here: a request written
-/// as the server closes would end as a reset that may have run.
-const IDLE_PART: u32 = 3;
-/// Time for which a connection rests after an answer: what comes behind the answer must show before the next
-/// request is written, or it would be taken for that one's answer.
-const REST: Duration = Duration::from_millis(20);
+/// Idle connections are kept for this fraction of the time after which servers close them. A request that is written
+/// just as the server closes would end as a reset, and count as possibly run.
+const IDLE_TIMEOUT_DIVISOR: u32 = 3;
+/// Time for which a connection is not reused after a response. Any surplus bytes behind the response must arrive before
+/// the next request is written, or they would be taken for its response.
+const MIN_IDLE: Duration = Duration::from_millis(20);
 
-struct Host {
+/// A server and its idle connections.
+struct Server {
+    /// Name of the server, which discovery calls its host.
     name: String,
-    /// Discovery has removed it, or no longer lists it.
-    gone: bool,
-    /// Attempts that are out there.
-    out: usize,
+    /// Discovery has removed it or no longer lists it.
+    removed: bool,
+    outstanding_attempts: usize,
     address: Option<SocketAddr>,
-    /// When it last started: connections to an earlier life lead nowhere.
-    born_ms: u64,
-    /// In service: idle connections are kept.
-    ready: bool,
-    /// When an attempt there last ended as a reset.
+    /// When it last started. Connections from before a restart are dead.
+    started_ms: u64,
+    in_service: bool,
+    /// When an attempt at it last ended with a reset.
     reset_at: Option<Instant>,
+    /// Idle connections, the one used last at the end.
     idle: Vec<Conn>,
 }
 
-/// A connection for an attempt.
+/// Result of asking for a connection.
 pub enum Checkout {
-    /// One that stood idle.
+    /// An idle connection.
     Idle(Conn),
-    /// One may be opened to this address.
+    /// Permission to open a connection to this address.
     Connect(SocketAddr, Held),
 }
 
-/// The servers by number, with the connections to each.
+/// All servers by id, with the connections to each.
 pub struct ServerPools {
-    hosts: RefCell<Vec<Host>>,
-    numbers: RefCell<HashMap<String, ServerId>>,
-    /// Numbers of servers that are gone and have nothing out, to be given again.
-    free: RefCell<Vec<ServerId>>,
+    servers: RefCell<Vec<Server>>,
+    ids: RefCell<HashMap<String, ServerId>>,
+    /// Ids of removed servers without outstanding attempts, for reuse.
+    free_ids: RefCell<Vec<ServerId>>,
     zones: RefCell<Zones>,
     descriptors: Rc<Descriptors>,
-    keep: Duration,
-    /// Time in which a connection has to come up.
-    pub dial_timeout: Duration,
+    /// Longest time for which an idle connection is kept.
+    max_idle: Duration,
+    /// Time limit for establishing a connection.
+    pub connect_timeout: Duration,
 }
 
 impl ServerPools {
-    /// Empty pools.
+    /// Pools without any server.
     pub fn new(setup: &HostSettings, descriptors: Rc<Descriptors>) -> Self {
         ServerPools {
-            hosts: RefCell::default(),
-            numbers: RefCell::default(),
-            free: RefCell::default(),
+            servers: RefCell::default(),
+            ids: RefCell::default(),
+            free_ids: RefCell::default(),
             zones: RefCell::new(Zones::new(&setup.zones)),
             descriptors,
-            keep: Duration::from_micros(setup.server_idle_timeout) / IDLE_PART,
-            dial_timeout: Duration::from_micros(setup.connect_timeout),
+            max_idle: Duration::from_micros(setup.server_idle_timeout) / IDLE_TIMEOUT_DIVISOR,
+            connect_timeout: Duration::from_micros(setup.connect_timeout),
         }
     }
 
-    /// Takes in a list of servers and turns it into what the module reads. A server is known by its host, as
-    /// its address may change; connections to an old address or to one that leaves are let go.
+    /// Applies a list of servers and converts it to the module's form. A server is identified by its name, as its address
+    /// may change. Idle connections to a former address, or to a server that has restarted or left service, are closed.
     pub fn apply_list(&self, kind: ListKind, list: &ServerList) -> Vec<ServerEntry> {
-        let (mut hosts, mut numbers) = (self.hosts.borrow_mut(), self.numbers.borrow_mut());
+        let (mut servers, mut ids) = (self.servers.borrow_mut(), self.ids.borrow_mut());
         let mut zones = self.zones.borrow_mut();
-        // Guards against growing with every new id. The module was told with an earlier list that these are gone,
-        // and has heard the end of every attempt, so a number given again means a new server to it as well.
-        let mut free = self.free.borrow_mut();
-        for (server, host) in hosts.iter_mut().enumerate().filter(|(_, h)| h.gone && h.out == 0) {
-            if numbers.remove(&std::mem::take(&mut host.name)).is_some() {
-                free.push(server);
+        // Ids are reused, so that state does not grow with every new server. The module learned of the removal from an
+        // earlier list and has received the outcome of every attempt, so it too takes a reused id for a new server.
+        let mut free_ids = self.free_ids.borrow_mut();
+        let unused = |server: &Server| server.removed && server.outstanding_attempts == 0;
+        for (id, server) in servers.iter_mut().enumerate().filter(|(_, server)| unused(server)) {
+            if ids.remove(&std::mem::take(&mut server.name)).is_some() {
+                free_ids.push(id);
             }
         }
-        let mut listed = vec![kind == ListKind::Delta; hosts.len()];
+        // Servers that a whole list does not name have been removed.
+        let mut listed = vec![kind == ListKind::Delta; servers.len()];
         let mut entries = Vec::with_capacity(list.hosts.len());
         for row in &list.hosts {
-            let server = *numbers.entry(row.host.clone()).or_insert_with(|| {
-                let host = Host {
+            let id = *ids.entry(row.host.clone()).or_insert_with(|| {
+                let server = Server {
                     name: row.host.clone(),
-                    gone: false,
-                    out: 0,
+                    removed: false,
+                    outstanding_attempts: 0,
                     address: None,
-                    born_ms: row.born_ms,
-                    ready: false,
+                    started_ms: row.born_ms,
+                    in_service: false,
                     reset_at: None,
                     idle: Vec::new(),
                 };
-                match free.pop() {
-                    Some(server) => {
-                        hosts[server] = host;
-                        server
+                match free_ids.pop() {
+                    Some(id) => {
+                        servers[id] = server;
+                        id
                     }
                     None => {
-                        hosts.push(host);
-                        hosts.len() - 1
+                        servers.push(server);
+                        servers.len() - 1
                     }
                 }
             });
-            if let Some(listed) = listed.get_mut(server) {
+            if let Some(listed) = listed.get_mut(id) {
                 *listed = true;
             }
-            let zone = zones.number(&row.site, server);
-            let host = &mut hosts[server];
+            let zone = zones.number(&row.site, id);
+            let server = &mut servers[id];
             let address = row.dial.parse().ok();
-            host.ready = row.health == Health::Serving;
-            host.gone = row.health == Health::Deleted;
-            if address != host.address && (address.is_some() || host.ready) {
-                host.address = address;
-                host.idle.clear();
+            server.in_service = row.health == Health::Serving;
+            server.removed = row.health == Health::Deleted;
+            if address != server.address && (address.is_some() || server.in_service) {
+                server.address = address;
+                server.idle.clear();
             }
-            if !host.ready || row.born_ms != host.born_ms {
-                host.born_ms = row.born_ms;
-                host.idle.clear();
+            if !server.in_service || row.born_ms != server.started_ms {
+                server.started_ms = row.born_ms;
+                server.idle.clear();
             }
-            let state = match row.health {
+            let lifecycle = match row.health {
                 Health::Serving => Lifecycle::Ready,
                 Health::Draining => Lifecycle::Draining,
                 Health::Deleted => Lifecycle::Removed,
             };
-            log::info!("server {server} is {} at {}: {:?}", row.host, row.dial, row.health);
-            let started = row.born_ms * 1_000;
+            log::info!("server {id}: host {}, address {}, {:?}", row.host, row.dial, row.health);
             entries.push(ServerEntry {
-                server,
+                server: id,
                 zone,
                 cell: row.block,
-                lifecycle: state,
+                lifecycle,
                 weight: row.share,
-                started_at: started,
+                started_at: row.born_ms * 1_000,
             });
         }
-        for (host, _) in hosts.iter_mut().zip(listed).filter(|(_, listed)| !listed) {
-            (host.ready, host.gone) = (false, true);
-            host.idle.clear();
+        for (server, _) in servers.iter_mut().zip(listed).filter(|(_, listed)| !listed) {
+            (server.in_service, server.removed) = (false, true);
+            server.idle.clear();
         }
         entries
     }
 
-    /// An idle connection that can be used, or the address to open one to; nothing where neither is to be had.
-    pub fn take(&self, server: ServerId) -> Option<Checkout> {
-        let mut hosts = self.hosts.borrow_mut();
-        let host = hosts.get_mut(server)?;
-        // Of those that have rested, the one used last is the least likely to be closing, and the others can
-        // grow old and go.
-        for at in (0..host.idle.len()).rev() {
-            if host.idle[at].idle() < REST {
+    /// An idle connection to a server, or permission to open one. Returns `None` if the server has no address or this
+    /// process may open no more connections.
+    pub fn take(&self, id: ServerId) -> Option<Checkout> {
+        let mut servers = self.servers.borrow_mut();
+        let server = servers.get_mut(id)?;
+        // The connection used last is the least likely to be closed by the server soon, and the others can reach the
+        // idle limit.
+        for index in (0..server.idle.len()).rev() {
+            if server.idle[index].idle() < MIN_IDLE {
                 continue;
             }
-            let conn = host.idle.remove(at);
-            if conn.idle() < self.keep && conn.quiet() {
+            let conn = server.idle.remove(index);
+            if conn.idle() < self.max_idle && conn.quiet() {
                 return Some(Checkout::Idle(conn));
             }
         }
-        let address = host.address?;
+        let address = server.address?;
+        // At the limit of open connections, the one that has been idle longest at any server is closed.
         loop {
             if let Some(held) = self.descriptors.try_hold(Owner::Servers) {
                 return Some(Checkout::Connect(address, held));
             }
-            let oldest = hosts.iter_mut().filter(|h| !h.idle.is_empty()).max_by_key(|h| h.idle[0].idle())?;
+            let oldest =
+                servers.iter_mut().filter(|s| !s.idle.is_empty()).max_by_key(|s| s.idle[0].idle())?;
             oldest.idle.remove(0);
         }
     }
 
-    /// Keeps a connection for the next attempt there.
-    pub fn give_back(&self, server: ServerId, mut conn: Conn) {
-        if let Some(host) =
-            self.hosts.borrow_mut().get_mut(server).filter(|h| h.ready && h.address == Some(conn.to))
+    /// Keeps a connection for a later attempt, if it still leads to a server in service.
+    pub fn give_back(&self, id: ServerId, mut conn: Conn) {
+        if let Some(server) =
+            self.servers.borrow_mut().get_mut(id).filter(|s| s.in_service && s.address == Some(conn.to))
         {
             conn.rest();
-            host.idle.push(conn);
+            server.idle.push(conn);
         }
     }
 
     /// Whether a server is in service at this address.
-    pub fn serves(&self, server: ServerId, address: SocketAddr) -> bool {
-        self.hosts.borrow().get(server).is_some_and(|h| h.ready && h.address == Some(address))
+    pub fn is_in_service_at(&self, id: ServerId, address: SocketAddr) -> bool {
+        self.servers.borrow().get(id).is_some_and(|s| s.in_service && s.address == Some(address))
     }
 
-    /// Whether there is any server in service.
+    /// Whether any server is in service.
     pub fn any_in_service(&self) -> bool {
-        self.hosts.borrow().iter().any(|h| h.ready && h.address.is_some())
+        self.servers.borrow().iter().any(|s| s.in_service && s.address.is_some())
     }
 
-    /// Counts what is out at a server, by one more or one less.
-    pub fn count_out(&self, server: ServerId, more: bool) {
-        if let Some(host) = self.hosts.borrow_mut().get_mut(server) {
-            host.out = if more { host.out + 1 } else { host.out.saturating_sub(1) };
+    /// Counts an attempt as outstanding; the id of its server is not reused until it has ended.
+    pub fn attempt_started(&self, id: ServerId) {
+        if let Some(server) = self.servers.borrow_mut().get_mut(id) {
+            server.outstanding_attempts += 1;
         }
     }
 
-    /// Takes note of a reset, and lets go of all idle connections to its server. Guards against one that vanished or
-    /// restarted unseen: its other connections look sound but end as resets too, where a new one would fail as
-    /// 'never ran'.
-    pub fn note_reset(&self, server: ServerId) {
-        if let Some(host) = self.hosts.borrow_mut().get_mut(server) {
-            host.reset_at = Some(Instant::now());
-            host.idle.clear();
+    /// Counts an attempt as ended.
+    pub fn attempt_ended(&self, id: ServerId) {
+        if let Some(server) = self.servers.borrow_mut().get_mut(id) {
+            server.outstanding_attempts = server.outstanding_attempts.saturating_sub(1);
         }
     }
 
-    /// Whether nothing speaks against a server's process having lived on since a time: it is listed, none of its
-    /// connections was reset, and of those that stand idle one at least is open.
-    pub fn is_alive(&self, server: ServerId, since: Instant) -> bool {
-        let hosts = self.hosts.borrow();
-        let Some(host) = hosts.get(server).filter(|host| !host.gone) else { return false };
-        let states: Vec<IdleState> = host.idle.iter().map(Conn::idle_state).collect();
-        let reset = host.reset_at.is_some_and(|at| at >= since) || states.contains(&IdleState::Broken);
+    /// Records a reset and closes all idle connections to the server. If it vanished or restarted unnoticed, its other
+    /// connections look open but would end with resets too, and each such request counts as possibly run. A new
+    /// connection would fail, and its request counts as never run.
+    pub fn record_reset(&self, id: ServerId) {
+        if let Some(server) = self.servers.borrow_mut().get_mut(id) {
+            server.reset_at = Some(Instant::now());
+            server.idle.clear();
+        }
+    }
+
+    /// Whether nothing suggests that a server's process has ended since a time: it is listed, no connection to it was
+    /// reset, and if there are idle connections, at least one of them is open.
+    pub fn seems_up_since(&self, id: ServerId, since: Instant) -> bool {
+        let servers = self.servers.borrow();
+        let Some(server) = servers.get(id).filter(|server| !server.removed) else { return false };
+        let states: Vec<IdleState> = server.idle.iter().map(Conn::idle_state).collect();
+        let reset = server.reset_at.is_some_and(|at| at >= since) || states.contains(&IdleState::Broken);
         let all_ended = !states.is_empty() && states.iter().all(|state| *state == IdleState::Ended);
         !reset && !all_ended
     }
 
-    /// Lets go of connections that have stood idle too long or were closed from the other side.
+    /// Closes connections that have been idle for too long or were closed by the server.
     pub fn prune(&self) {
-        for host in self.hosts.borrow_mut().iter_mut() {
-            host.idle.retain(|conn| conn.idle() < self.keep && conn.quiet());
+        for server in self.servers.borrow_mut().iter_mut() {
+            server.idle.retain(|conn| conn.idle() < self.max_idle && conn.quiet());
         }
     }
 }
--- a/limeway/src/upstream/zones.rs
+++ b/limeway/src/upstream/zones.rs
@@ -1,33 +1,32 @@
-//! Numbers of zones: the decisions know zones by number, discovery by name.
+//! Maps zone names, which discovery uses, to the zone numbers that the module uses.
 
 use pondgw::ServerId;
 use std::collections::HashMap;
 
-/// Zones that get a number by their name at most, beside those that the settings name: state is bounded, and a list
-/// may bring ever new names.
-const NAMED_MOST: usize = 4_096;
+/// Largest number of zones that are numbered by name, in addition to those that the settings name. Lists of servers may
+/// contain ever new names, and the state kept for them must be bounded.
+const MAX_LISTED_ZONES: usize = 4_096;
 
-/// The zones by name.
+/// Numbers of zones by name.
 pub struct Zones {
     numbers: HashMap<String, usize>,
-    /// The next number that is given.
     next: usize,
-    /// Numbers from this on are given to no name.
+    /// Zones that are known by name have numbers below this.
     limit: usize,
 }
 
 impl Zones {
-    /// The zones that the settings name, numbered as they stand there.
-    pub fn new(named: &[String]) -> Self {
+    /// The zones that the settings name, numbered in their order there.
+    pub fn new(names: &[String]) -> Self {
         let mut numbers = HashMap::new();
-        for (number, name) in named.iter().enumerate() {
+        for (number, name) in names.iter().enumerate() {
             numbers.entry(name.clone()).or_insert(number);
         }
-        Zones { numbers, next: named.len(), limit: named.len() + NAMED_MOST }
+        Zones { numbers, next: names.len(), limit: names.len() + MAX_LISTED_ZONES }
     }
 
-    /// Number of the zone of a server. Where there are too many, the server stands for a zone of its own: two zones
-    /// with one number would be taken for one by whoever may repeat a request within its zone only.
+    /// Number of a server's zone. When there are too many zones, the server gets a zone of its own. A number shared by
+    /// two zones would allow a request that may be repeated only within its zone to be repeated in the other.
     pub fn number(&mut self, name: &str, server: ServerId) -> usize {
         if let Some(number) = self.numbers.get(name) {
             return *number;
