--- a/limeway/src/discovery.rs
+++ b/limeway/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: how its lists are worded, and how they are followed.
+//! Discovery: the format of its lists of servers, and the client that follows their changes.
 
 pub mod catalog;
 pub mod follower;
--- a/limeway/src/discovery/catalog.rs
+++ b/limeway/src/discovery/catalog.rs
@@ -1,10 +1,10 @@
-//! The list of servers as discovery words it.
+//! The list of servers in discovery's format.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 
-/// State of a server in the list.
+/// State of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub enum Health {
     /// In service.
@@ -13,71 +13,72 @@
     /// Removed.
     #[serde(rename = "DELETED")]
     Deleted,
-    /// Finishing its work. A state of another name is taken for this one: nothing new goes there.
+    /// Finishing its outstanding requests; it gets no new ones. Unknown states are treated the same.
     #[serde(rename = "DRAINING", other)]
     Draining,
 }
 
-/// One server in the list.
+/// One server in a list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Row {
-    /// Its name, the same everywhere.
+    /// Name of the server, by which all limiters identify it.
     pub host: String,
-    /// Where this limiter reaches it.
+    /// Address at which this limiter reaches it.
     #[serde(default)]
     pub dial: String,
-    /// Its zone.
+    /// Zone.
     #[serde(default)]
     pub site: String,
-    /// Its cell.
+    /// Cell.
     #[serde(default)]
     pub block: u64,
-    /// Its state.
+    /// State.
     pub health: Health,
-    /// Its relative size.
-    #[serde(default = "one")]
+    /// Weight relative to other servers.
+    #[serde(default = "default_share")]
     pub share: f64,
-    /// When it last started, Unix milliseconds; 0 for long ago.
+    /// When it last started, in Unix milliseconds; 0 for long ago.
     #[serde(default)]
     pub born_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_share() -> f64 {
     1.0
 }
 
 /// A list of servers, or the changes to one.
 #[derive(Debug, Clone, Deserialize)]
-#[serde(from = "Raw")]
+#[serde(from = "RawList")]
 pub struct ServerList {
-    /// Its version.
+    /// Version of the list.
     pub seq: u64,
-    /// The whole list rather than changes.
+    /// The whole list rather than the changes since a version.
     pub whole: bool,
-    /// The servers.
+    /// The servers listed.
     pub hosts: Vec<Row>,
-    /// Rows that make no sense.
+    /// Number of rows that are invalid and therefore missing from `hosts`.
     pub invalid_rows: usize,
 }
 
-/// A list as it comes, its rows not yet judged: as text, which takes less memory than a tree of values.
+/// A list as received, with rows that are not parsed yet. They are kept as text, which takes less memory than parsed
+/// JSON values.
 #[derive(Deserialize)]
-struct Raw {
+struct RawList {
     seq: u64,
     whole: bool,
     hosts: Vec<Box<RawValue>>,
 }
 
-impl From<Raw> for ServerList {
-    /// Judges each row by itself: one that makes no sense must not take the others with it.
-    fn from(raw: Raw) -> Self {
+impl From<RawList> for ServerList {
+    /// Parses each row separately, so that an invalid row does not invalidate the others.
+    fn from(raw: RawList) -> Self {
         let rows = raw.hosts.len();
-        let sound = |row: &Row| row.health != Health::Serving || row.dial.parse::<SocketAddr>().is_ok();
+        let valid = |row: &Row| row.health != Health::Serving || row.dial.parse::<SocketAddr>().is_ok();
         let hosts: Vec<Row> = raw
             .hosts
             .into_iter()
             .filter_map(|row| serde_json::from_str(row.get()).ok())
-            .filter(sound)
+            .filter(valid)
             .collect();
         ServerList { seq: raw.seq, whole: raw.whole, invalid_rows: rows - hosts.len(), hosts }
     }
--- a/limeway/src/discovery/follower.rs
+++ b/limeway/src/discovery/follower.rs
@@ -1,9 +1,9 @@
-//! Discovery: asked for the list of servers, then watched for its changes, for ever.
+//! Follows discovery: requests the list of servers, then watches it for changes, without end.
 //!
-//! What discovery has counts as told some time after it had it and could be reached, whatever became of the calls
-//! before. So a call that is not answered in time is not waited out: another begins beside it on a connection of its
-//! own, and the first answer counts. Where discovery must be asked, the module says when, but for a watch that has
-//! fallen silent.
+//! The protocol treats the limiter as informed of a change some time after discovery had it and could be reached,
+//! whatever became of earlier calls. So an overdue call is not waited for: another call starts on a connection of its
+//! own, and the first answer counts. Where discovery must be asked, the module decides when to start and when to retry
+//! after a failure; only a watch that is overdue is followed by another one at once.
 
 use crate::core::Core;
 use crate::discovery::catalog::ServerList;
@@ -19,94 +19,98 @@
 use tokio::task::{AbortHandle, Id, JoinSet};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// What discovery has counts as told so long after it had it and could be reached (protocol page).
-const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// Time after which an answer is late, and another call begins: a quarter of the time above, so that a watch with
-/// its wait, the time in which it is late, and the time for the answer to the next call stay within it.
-const LATE: Duration = Duration::from_millis(1_500);
-/// How long a watch waits for changes, in milliseconds: half of the time above, see there.
+/// The protocol treats the limiter as informed of a change this long after discovery had it and could be reached
+/// (protocol page).
+const INFORMED_AFTER: Duration = Duration::from_secs(6);
+/// Time after which an answer is overdue and another call starts: a quarter of `INFORMED_AFTER`. The hold time of a
+/// watch, the time until it is overdue, and the time for the answer to the next call then fit into `INFORMED_AFTER`.
+const OVERDUE_AFTER: Duration = Duration::from_millis(1_500);
+/// Time for which discovery holds a watch while there are no changes, in milliseconds: half of `INFORMED_AFTER`, see
+/// `OVERDUE_AFTER`.
 const HOLD_MS: u64 = 3_000;
-/// The same for the first one, and for the first after a failure: its answer shows that it is heard.
+/// Hold time of the first watch, and of the first after a failure: its answer shows that discovery can be reached.
 const FIRST_HOLD_MS: u64 = 1;
-/// Part of the time of grace for drains after which a call is late that has nothing to wait for, where lists are
-/// pushed: its agent answers at once, and what the agent has counts as told from the first moment on.
-const GRACE_PART: u32 = 2;
-/// Calls under way at most: as many as may be late one after the other within the time above.
-const CALLS_MOST: usize = descriptors::DISCOVERY_MOST;
-/// Bytes that a list may have as it comes, for each megabyte of the memory limit: an eighth, as it is held once as
-/// it is read, twice while that grows, and then as text and as rows. A row has some 126 bytes, so 64 MB bear a list
-/// of 60,000 servers.
-const LIST_PART: f64 = 1024.0 * 1024.0 / 8.0;
-/// Wait after a call that failed where lists are pushed: at first, and at most after doubling.
+/// Where lists are pushed, a call that is not a watch is overdue after this fraction of the drain grace. The agent of
+/// discovery answers such a call at once, and the protocol treats the limiter as informed of whatever the agent has.
+const GRACE_DIVISOR: u32 = 2;
+/// Largest number of concurrent calls: as many as can become overdue one after the other within `INFORMED_AFTER`.
+const MAX_CALLS: usize = descriptors::DISCOVERY_MOST;
+/// Longest list that is read, in bytes for each megabyte of the memory limit: an eighth. A list is held once as read,
+/// twice while the buffer grows, and then both as text and as rows. A row takes about 126 bytes, so 64 MB are enough
+/// for a list of 60,000 servers.
+const LIST_BYTES_PER_MB: f64 = 1024.0 * 1024.0 / 8.0;
+/// Backoff after a failed call where lists are pushed: the first, and the longest after doubling.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
-/// Part of the time of grace that this wait may take.
-const BACKOFF_PART: u32 = 4;
-/// Wait after a watch that was answered early, with news and without: less than the 200 ms within which it goes on,
-/// and enough that a discovery which keeps none waiting is not asked in a spin.
+/// The longest backoff is at most this fraction of the drain grace.
+const BACKOFF_GRACE_DIVISOR: u32 = 4;
+/// Pause after a watch that was answered early, with changes and without. It is below the 200 ms within which the next
+/// watch must start, and keeps the limiter from a busy loop if discovery does not hold watches.
 const EARLY_PAUSE: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(100));
 
-/// Follows discovery, for ever, also to another address.
+/// Follows discovery, without end, and across changes of its address.
 pub async fn run(core: Rc<Core>) {
     let mut moved = false;
     loop {
         tokio::select! {
             biased;
-            // The old agent is told no more: a pending watch is given up, and the whole list is asked of the new.
+            // A pending watch at the old address is dropped, and the whole list is requested at the new one.
             () = core.moved.notified() => moved = true,
             () = Follower::new(&core, moved).run() => {}
         }
     }
 }
 
-/// What is due next.
+/// What happens next, if no call ends before.
 #[derive(Clone, Copy)]
 enum Next {
-    /// A call begins.
-    Begin(Instant),
-    /// The newest call is late.
-    Late(Instant),
-    /// A call begins when the module says so.
+    /// A call starts at this time.
+    Call(Instant),
+    /// The newest call is overdue at this time.
+    Overdue(Instant),
+    /// A call starts when the module asks for one.
     OnRequest,
 }
 
-/// A list, and the connection that it came on if that can be used again.
+/// A list, and its connection if that can be reused.
 type Answer = (ServerList, Option<Conn>);
 
 /// Follows discovery at one address.
 struct Follower<'a> {
     core: &'a Rc<Core>,
-    ask: bool,
-    /// The version held; nothing where only the whole list will do.
+    /// Discovery must be asked: the module decides when the first call starts, and when to retry after a failure.
+    /// Otherwise lists are pushed, and this follower decides.
+    must_ask: bool,
+    /// Version of the list held. `None` if the whole list must be requested.
     seq: Option<u64>,
-    /// How long the next call waits for changes, in milliseconds.
+    /// Hold time of the next call, in milliseconds.
     hold_ms: u64,
     conn: Option<Conn>,
     calls: JoinSet<io::Result<Answer>>,
-    /// The calls under way, the oldest first.
-    order: VecDeque<AbortHandle>,
-    /// When the newest began.
-    began: Instant,
+    /// The pending calls, oldest first.
+    pending: VecDeque<AbortHandle>,
+    /// When the newest call started.
+    started: Instant,
     next: Next,
     backoff: Duration,
 }
 
 impl<'a> Follower<'a> {
     fn new(core: &'a Rc<Core>, moved: bool) -> Self {
-        let ask = core.config.setup.settings.watch_discovery;
-        // What was known at the start is what the module holds: changes since then are enough, and cost discovery
-        // less than the whole list. They are asked for without a wait, as the limiter is not ready before.
+        let must_ask = core.config.setup.settings.watch_discovery;
+        // The module holds the list known at start, so the changes since then are enough, and cost discovery less than
+        // the whole list. The first call has almost no hold time, as the limiter is not ready before its answer.
         let known = core.config.known.as_ref().filter(|list| !moved && list.whole && list.invalid_rows == 0);
         let now = Instant::now();
         Follower {
             core,
-            ask,
+            must_ask,
             seq: known.map(|list| list.seq),
             hold_ms: FIRST_HOLD_MS,
             conn: None,
             calls: JoinSet::new(),
-            order: VecDeque::new(),
-            began: now,
-            next: if ask && !moved { Next::OnRequest } else { Next::Begin(now) },
+            pending: VecDeque::new(),
+            started: now,
+            next: if must_ask && !moved { Next::OnRequest } else { Next::Call(now) },
             backoff: BACKOFF.0,
         }
     }
@@ -114,62 +118,63 @@
     async fn run(mut self) {
         loop {
             let (on_request, at) = match self.next {
-                Next::Begin(at) | Next::Late(at) => (false, at),
-                Next::OnRequest => (true, self.began),
+                Next::Call(at) | Next::Overdue(at) => (false, at),
+                Next::OnRequest => (true, self.started),
             };
             tokio::select! {
                 biased;
                 Some(done) = self.calls.join_next_with_id() => match done {
                     Ok((_, Ok(answer))) => self.on_answer(answer),
                     Ok((id, Err(e))) => self.on_failure(id, &e),
-                    Err(e) => self.on_failure(e.id(), &io::Error::other("the call was ended")),
+                    Err(e) => self.on_failure(e.id(), &io::Error::other("the call was aborted")),
                 },
-                () = self.core.watch.notified(), if on_request => self.next = Next::Begin(Instant::now()),
+                () = self.core.watch.notified(), if on_request => self.next = Next::Call(Instant::now()),
                 () = sleep_until(at), if !on_request => match self.next {
-                    Next::Begin(_) => self.begin(),
-                    _ => self.on_late(),
+                    Next::Call(_) => self.start_call(),
+                    _ => self.on_overdue(),
                 },
             }
         }
     }
 
-    fn begin(&mut self) {
-        self.order.retain(|call| !call.is_finished());
-        // The oldest may be the next to be answered; of the others the one that began first goes.
-        if self.order.len() >= CALLS_MOST {
-            if let Some(call) = self.order.remove(1) {
+    fn start_call(&mut self) {
+        self.pending.retain(|call| !call.is_finished());
+        // The oldest call may be the next to be answered, so the second oldest is aborted.
+        if self.pending.len() >= MAX_CALLS {
+            if let Some(call) = self.pending.remove(1) {
                 call.abort();
             }
         }
         let (core, conn, seq, hold_ms) = (self.core.clone(), self.conn.take(), self.seq, self.hold_ms);
-        self.order.push_back(self.calls.spawn_local(call(core, conn, seq, hold_ms)));
-        self.began = Instant::now();
-        let held = self.seq.map(|_| self.hold_ms);
-        self.next = Next::Late(self.began + late_after(&self.core.config.setup, held));
+        self.pending.push_back(self.calls.spawn_local(call(core, conn, seq, hold_ms)));
+        self.started = Instant::now();
+        let hold_ms = self.seq.map(|_| self.hold_ms);
+        self.next = Next::Overdue(self.started + overdue_after(&self.core.config.setup, hold_ms));
     }
 
-    /// The newest call is late.
-    fn on_late(&mut self) {
-        // What a silent watch misses soon counts as told, so it is opened anew at once, where discovery must be
-        // asked, too.
-        let watch = self.hold_ms == HOLD_MS;
-        log::info!("discovery: no answer after {:?}", self.began.elapsed());
+    fn on_overdue(&mut self) {
+        // The limiter soon counts as informed of changes that a silent watch misses. So another watch starts at once,
+        // even where the module decides when to retry.
+        let is_watch = self.hold_ms == HOLD_MS;
+        log::info!("discovery: no answer after {:?}", self.started.elapsed());
         self.hold_ms = FIRST_HOLD_MS;
-        if self.ask && !watch {
+        if self.must_ask && !is_watch {
             self.report_failure();
         } else {
-            self.next = Next::Begin(Instant::now());
+            self.next = Next::Call(Instant::now());
         }
     }
 
-    /// A call has failed. Only the newest tells how things stand.
+    /// A call has failed. The failure counts only if it is the newest call.
     fn on_failure(&mut self, id: Id, error: &io::Error) {
         self.core.log_limiter.warn(format_args!("discovery: {error}"));
-        if self.order.back().is_none_or(|newest| newest.id() != id) || !matches!(self.next, Next::Late(_)) {
+        if self.pending.back().is_none_or(|newest| newest.id() != id)
+            || !matches!(self.next, Next::Overdue(_))
+        {
             return;
         }
         self.hold_ms = FIRST_HOLD_MS;
-        if self.ask {
+        if self.must_ask {
             self.report_failure();
         } else {
             self.back_off();
@@ -182,88 +187,89 @@
     }
 
     fn back_off(&mut self) {
-        self.next = Next::Begin(Instant::now() + self.backoff);
-        let grace = Duration::from_micros(self.core.config.setup.drain_grace) / BACKOFF_PART;
-        let most = if grace.is_zero() { BACKOFF.1 } else { grace.clamp(BACKOFF.0, BACKOFF.1) };
-        self.backoff = (self.backoff * 2).min(most);
+        self.next = Next::Call(Instant::now() + self.backoff);
+        let limit = Duration::from_micros(self.core.config.setup.drain_grace) / BACKOFF_GRACE_DIVISOR;
+        let limit = if limit.is_zero() { BACKOFF.1 } else { limit.clamp(BACKOFF.0, BACKOFF.1) };
+        self.backoff = (self.backoff * 2).min(limit);
     }
 
     fn on_answer(&mut self, (list, conn): Answer) {
-        // The others are of no more use.
+        // The answers to the other calls are not needed any more.
         self.calls = JoinSet::new();
-        self.order.clear();
+        self.pending.clear();
         self.conn = conn;
-        let news = if list.whole { self.seq != Some(list.seq) } else { !list.hosts.is_empty() };
-        let early = self.began.elapsed() < Duration::from_millis(self.hold_ms) / 2;
-        // Changes refer to the list held; the whole list stands for itself, unless some of it cannot be read:
-        // whoever is not named then may well be there.
+        let has_changes = if list.whole { self.seq != Some(list.seq) } else { !list.hosts.is_empty() };
+        let early = self.started.elapsed() < Duration::from_millis(self.hold_ms) / 2;
+        // A whole list with invalid rows is applied as changes: a server missing from it may be in an invalid row.
         if list.whole && list.invalid_rows == 0 {
             self.core.learn(ListKind::Full, &list);
         } else {
-            // Also where nothing has changed: the module knows by that how old news can be.
+            // Applied even without changes, as the module derives the age of its list from it.
             self.core.learn(ListKind::Delta, &list);
         }
         self.core.ready.set(true);
         if list.invalid_rows > 0 {
-            self.core.log_limiter.warn(format_args!("discovery: {} rows make no sense", list.invalid_rows));
+            self.core
+                .log_limiter
+                .warn(format_args!("discovery: list with {} invalid rows", list.invalid_rows));
             (self.seq, self.hold_ms) = (None, FIRST_HOLD_MS);
             return self.back_off();
         }
-        let pause = match (early, news) {
+        let pause = match (early, has_changes) {
             (false, _) => Duration::ZERO,
             (true, true) => EARLY_PAUSE.0,
             (true, false) => EARLY_PAUSE.1,
         };
-        self.next = Next::Begin(Instant::now() + pause);
+        self.next = Next::Call(Instant::now() + pause);
         (self.seq, self.hold_ms, self.backoff) = (Some(list.seq), HOLD_MS, BACKOFF.0);
     }
 }
 
-/// Time after which an answer is late, of a watch with its wait or of a call without one.
-fn late_after(setup: &HostSettings, hold_ms: Option<u64>) -> Duration {
-    let grace = Duration::from_micros(setup.drain_grace) / GRACE_PART;
-    // Where discovery must be asked, calls of all limiters wait in one line there.
+/// Time after which an answer is overdue, including the hold time where there is one.
+fn overdue_after(setup: &HostSettings, hold_ms: Option<u64>) -> Duration {
+    let grace = Duration::from_micros(setup.drain_grace) / GRACE_DIVISOR;
+    // Where discovery must be asked, the calls of all limiters wait in one queue there.
     if setup.settings.watch_discovery || hold_ms == Some(HOLD_MS) || grace.is_zero() {
-        return Duration::from_millis(hold_ms.unwrap_or_default()) + LATE;
+        return Duration::from_millis(hold_ms.unwrap_or_default()) + OVERDUE_AFTER;
     }
-    grace.min(LATE)
+    grace.min(OVERDUE_AFTER)
 }
 
 /// Longest list that is read, in bytes.
-fn list_most(core: &Core) -> usize {
-    // A figure that makes no sense becomes nought, or the most that there is.
-    ((core.config.memory_mb * LIST_PART) as usize).max(http::ANSWER_BODY_MOST)
+fn max_list_bytes(core: &Core) -> usize {
+    // The cast turns a negative value or NaN into 0, and saturates above the largest `usize`.
+    ((core.config.memory_mb * LIST_BYTES_PER_MB) as usize).max(http::ANSWER_BODY_MOST)
 }
 
-/// Asks for the whole list, or for what is newer than the version held, waiting so long for it.
-async fn call(core: Rc<Core>, kept: Option<Conn>, seq: Option<u64>, hold_ms: u64) -> io::Result<Answer> {
+/// Requests the whole list, or with `seq` the changes since that version, for which discovery waits up to `hold_ms`.
+async fn call(core: Rc<Core>, idle: Option<Conn>, seq: Option<u64>, hold_ms: u64) -> io::Result<Answer> {
     let target = match seq {
         Some(seq) => format!("/catalog/members?from={seq}&hold_ms={hold_ms}"),
         None => "/catalog/members".to_owned(),
     };
     let message = format!("GET {target} HTTP/1.1\r\nHost: discovery\r\n\r\n");
-    let most = list_most(&core);
+    let max_bytes = max_list_bytes(&core);
     let exchange = async {
-        let mut open = match kept.filter(Conn::quiet) {
-            Some(open) => open,
+        let mut conn = match idle.filter(Conn::quiet) {
+            Some(conn) => conn,
             None => {
                 let held = core.descriptors.try_hold(Owner::Discovery);
-                let held = held.ok_or_else(|| io::Error::other("all calls that may be open are"))?;
-                Conn::open_for(core.places.get().discovery, held, most).await?
+                let held = held.ok_or_else(|| io::Error::other("the limit of open calls is reached"))?;
+                Conn::open_for(core.places.get().discovery, held, max_bytes).await?
             }
         };
-        open.write(message.as_bytes(), &Cell::new(false)).await?;
-        let Reply { head, body, keep, .. } = open.read().await.map_err(|e| match e {
+        conn.write(message.as_bytes(), &Cell::new(false)).await?;
+        let Reply { head, body, keep, .. } = conn.read().await.map_err(|e| match e {
             Broken::Ended(e) => e,
-            e => io::Error::other(format!("{e}; lists of up to {most} bytes are read")),
+            e => io::Error::other(format!("{e}; lists of up to {max_bytes} bytes are read")),
         })?;
         if head.status != 200 {
             return Err(io::Error::other(format!("status {}", head.status)));
         }
         let list = serde_json::from_slice(&body)?;
-        Ok((list, keep.then_some(open)))
+        Ok((list, keep.then_some(conn)))
     };
-    timeout(Duration::from_millis(hold_ms) + NOTIFIED_AFTER, exchange).await?
+    timeout(Duration::from_millis(hold_ms) + INFORMED_AFTER, exchange).await?
 }
 
 #[cfg(test)]
--- a/limeway/src/upstream/attempts.rs
+++ b/limeway/src/upstream/attempts.rs
@@ -59,8 +59,8 @@
         Rc::new(AttemptRunner { pools, clock, log_limiter, sink })
     }
 
-    /// Makes an attempt and reports its outcome. A status received on `stopped` ends the attempt early. Its connection is
-    /// closed before the outcome is reported, so that it cannot overlap with a further attempt.
+    /// Makes an attempt and reports its outcome. A status received on `stopped` ends the attempt early. Its connection
+    /// is closed before the outcome is reported, so that it cannot overlap with a further attempt.
     pub fn start(self: &Rc<Self>, spec: AttemptSpec, stopped: oneshot::Receiver<Status>) {
         self.pools.attempt_started(spec.server);
         let this = self.clone();
@@ -79,8 +79,8 @@
         });
     }
 
-    /// Whether a body that is delimited by the end of its connection is complete, as far as that can be known: the server
-    /// must still be up, and no second response may be contained in the body.
+    /// Whether a body that is delimited by the end of its connection is complete, as far as that can be known: the
+    /// server must still be up, and the body must not contain a second response.
     fn is_complete(&self, server: ServerId, started: Instant, body: &[u8]) -> bool {
         !body.is_empty() && !http::holds_status_line(body) && self.pools.seems_up_since(server, started)
     }
--- a/limeway/src/upstream/servers.rs
+++ b/limeway/src/upstream/servers.rs
@@ -71,8 +71,9 @@
         }
     }
 
-    /// Applies a list of servers and converts it to the module's form. A server is identified by its name, as its address
-    /// may change. Idle connections to a former address, or to a server that has restarted or left service, are closed.
+    /// Applies a list of servers and converts it to the module's form. A server is identified by its name, as its
+    /// address may change. Idle connections to a former address, or to a server that has restarted or left service, are
+    /// closed.
     pub fn apply_list(&self, kind: ListKind, list: &ServerList) -> Vec<ServerEntry> {
         let (mut servers, mut ids) = (self.servers.borrow_mut(), self.ids.borrow_mut());
         let mut zones = self.zones.borrow_mut();
--- a/limeway/tests/unit/follower.rs
+++ b/limeway/tests/unit/follower.rs
@@ -1,4 +1,4 @@
-//! Tests of what only the inside of `discovery` shows.
+//! Unit tests of `discovery::follower`.
 
 use super::*;
 
@@ -8,30 +8,33 @@
     HostSettings::from_json(&serde_json::from_str(&text).expect("an object")).expect("settings")
 }
 
-/// Guards both ways: a silent call must be followed by one that is answered before what the first one missed counts
-/// as told; and one that waits in discovery's line must not be given up before.
+/// After a silent call, the next one must have time for its answer before the limiter counts as informed of what the
+/// first call missed. A call that waits in discovery's queue must not be aborted before then either.
 #[test]
-fn from_any_call_on_another_has_time_for_its_answer_before_what_the_first_missed_counts_as_told() {
+fn after_a_silent_call_the_next_has_time_for_its_answer_before_the_limiter_counts_as_informed() {
     for ask in [true, false] {
         for grace in [0, 200_000, 1_000_000, 9_000_000] {
             for hold in [None, Some(FIRST_HOLD_MS), Some(HOLD_MS)] {
-                let late = late_after(&setup(ask, grace), hold);
-                assert!(late + LATE <= NOTIFIED_AFTER, "asked {ask}, {hold:?}, grace {grace} us: {late:?}");
+                let overdue = overdue_after(&setup(ask, grace), hold);
+                assert!(
+                    overdue + OVERDUE_AFTER <= INFORMED_AFTER,
+                    "ask {ask}, {hold:?}, grace {grace} us: {overdue:?}"
+                );
             }
         }
     }
-    // Each of those under way has that long, too.
-    assert!(LATE * CALLS_MOST as u32 >= NOTIFIED_AFTER);
+    // With the largest number of concurrent calls, each can wait for an answer this long.
+    assert!(OVERDUE_AFTER * MAX_CALLS as u32 >= INFORMED_AFTER);
 }
 
-/// Guards against a new process that goes on by its old list for longer than the time of grace.
+/// Guards against a new process that uses its old list for longer than the drain grace.
 #[test]
-fn a_first_call_that_is_not_heard_leaves_time_for_another_within_the_grace() {
+fn a_first_call_that_is_lost_leaves_time_for_another_within_the_drain_grace() {
     for grace in [200_000, 500_000, 1_000_000] {
         for hold in [None, Some(FIRST_HOLD_MS)] {
-            let late = late_after(&setup(false, grace), hold);
-            assert!(late + BACKOFF.0 < Duration::from_micros(grace), "{late:?} of {grace} us");
+            let overdue = overdue_after(&setup(false, grace), hold);
+            assert!(overdue + BACKOFF.0 < Duration::from_micros(grace), "{overdue:?} of {grace} us");
         }
     }
-    assert_eq!(late_after(&setup(false, 0), None), LATE, "where no grace is told");
+    assert_eq!(overdue_after(&setup(false, 0), None), OVERDUE_AFTER, "where no grace is configured");
 }
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -21,7 +21,7 @@
     times
 }
 
-/// A change counts as known to the gateway 6 s after discovery had it. The host takes 1.5 s of these to find a call
+/// The gateway counts as informed of a change 6 s after discovery had it. Of these, the host needs 1.5 s to find a call
 /// overdue and 1.5 s for the answer to the next call. Guards against waits that exceed the remaining 3 s because they
 /// grow with failures or with the number of gateways.
 #[test]
