--- a/tests/combinations.rs
+++ b/tests/combinations.rs
@@ -101,10 +101,9 @@
     assert_eq!(refused + sent.len(), last_id as usize, "each request is either sent or refused");
 }
 
-/// Guards against failure detection that depends on fast answers: with all other servers slow, hung servers must still
-/// be ejected.
+/// Hung servers must be noticed even while all others take half of the objective, and requests must still be answered.
 #[test]
-fn hung_servers_are_ejected_while_all_others_are_slow() {
+fn hung_servers_get_few_requests_while_all_others_are_slow() {
     let mut host = Host::new(Settings { gateways: 1, ..settings() }, 6);
     let mut outstanding: Vec<SentAttempt> = Vec::new();
     let (mut seen, mut answered) = (0, 0);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -210,7 +210,7 @@
         self.request_from("choir", 2, id, (class, plan, time_left));
     }
 
-    /// Delivers a request for one unit of a customer whose requests arrive at so many gateways.
+    /// Delivers a request for one unit of a customer whose requests arrive at this many gateways.
     pub fn request_from(
         &mut self,
         customer: &str,
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -17,7 +17,7 @@
     skew: f64,
     /// Share of the gateways that restart in a second.
     restart_rate: f64,
-    /// Time from the start of the cold servers until gateways are told.
+    /// Time from the start of the cold servers until the gateways are informed.
     list_delay: Micros,
     /// Number of servers that start.
     cold_servers: usize,
@@ -122,8 +122,8 @@
     let mut outstanding: Vec<Outstanding> = Vec::new();
     while now < start + slow_start {
         now += STEP;
-        let told = now >= start + scenario.list_delay;
-        if told && now < start + scenario.list_delay + STEP {
+        let informed = now >= start + scenario.list_delay;
+        if informed && now < start + scenario.list_delay + STEP {
             for host in &mut hosts {
                 host.now = now;
                 host.deliver_list(ListKind::Full, list(Some(start)));
@@ -144,7 +144,7 @@
             host.run_until(now);
             if random.next() < scenario.restart_rate * STEP as f64 / S as f64 {
                 hosts_made += 1;
-                *host = new_host(hosts_made, now, list(told.then_some(start)));
+                *host = new_host(hosts_made, now, list(informed.then_some(start)));
                 outstanding.retain(|o| o.gateway != n);
                 seen[n] = 0;
             }
@@ -198,7 +198,7 @@
             continue;
         }
         late_to_cold += in_last_third;
-        // Each send, once all gateways have been told, begins a window of the overload duration.
+        // Each send, once all gateways have been informed of the start, begins a window of the overload duration.
         let sends: Vec<Micros> =
             times.iter().copied().filter(|at| *at >= start + scenario.list_delay + STEP).collect();
         for (first, at) in sends.iter().enumerate() {
