--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -29,8 +29,8 @@
     host.actions.iter().filter_map(message).collect()
 }
 
-/// Runs the gateways for this many steps of 10 ms, each after a call of `before_step`. Messages arrive one step later if
-/// `deliver` is set, and are lost otherwise. Each host has a counter of its own.
+/// Runs the gateways for this many steps of 10 ms, each after a call of `before_step`. Messages arrive one step later
+/// if `deliver` is set, and are lost otherwise. Each host has a counter of its own.
 fn run_fleet(hosts: &mut [Host], steps: u64, deliver: bool, mut before_step: impl FnMut(u64, &mut [Host])) {
     let mut seen = vec![0; hosts.len()];
     for step in 0..steps {
