--- a/limeway/src/clients/request.rs
+++ b/limeway/src/clients/request.rs
@@ -1,7 +1,7 @@
 //! A client's request as it stands in the message: checked all through before anything else hears of it.
 
 use crate::network::http::{Framing, Head, HttpError};
-use crate::upstream::attempts::Forward;
+use crate::upstream::attempts::ForwardedRequest;
 use pondgw::{ClientRequest, HostSettings, Idempotency};
 
 /// Longest wait that a client may state, in milliseconds.
@@ -73,7 +73,7 @@
     /// Whether this limiter is ready.
     Health,
     /// A request for the module, under the client's own id.
-    Demand(Vec<u8>, ClientRequest, Forward),
+    Demand(Vec<u8>, ClientRequest, ForwardedRequest),
 }
 
 fn text(value: Option<&[u8]>) -> Option<&str> {
@@ -145,7 +145,7 @@
         gateways: spread,
         first_gateway: first,
     };
-    Ok(ClientMessage::Demand(id.to_vec(), demand, Forward { head: forward, body }))
+    Ok(ClientMessage::Demand(id.to_vec(), demand, ForwardedRequest { head: forward, body }))
 }
 
 /// A whole number in plain digits, without a sign.
