--- a/limeway/src/clients/client_connection.rs
+++ b/limeway/src/clients/client_connection.rs
@@ -6,7 +6,7 @@
 use crate::network::connection;
 use crate::network::http::{self, Body, Head};
 use crate::network::stream_io::{read_some, uninterrupted, write_whole};
-use crate::upstream::attempts::Forward;
+use crate::upstream::attempts::ForwardedRequest;
 use bytes::BytesMut;
 use pondgw::{Demand, Micros};
 use std::io::{self, ErrorKind, Read};
@@ -39,7 +39,7 @@
 /// Largest buffer that an idle connection keeps, in bytes.
 const BUFFER_KEPT: usize = 4 * 1024;
 /// Longest request that is kept while another is open, in bytes.
-const REQUEST_MOST: usize = http::HEAD_MOST + http::BODY_MOST;
+const REQUEST_MOST: usize = http::MAX_HEAD + http::MAX_REQUEST_BODY;
 /// When who is turned away for want of room may come again, in microseconds: by then connections have ended.
 const TRY_AGAIN: Micros = 1_000_000;
 
@@ -194,7 +194,7 @@
                 () = std::future::ready(()), if closing => {}
             }
             // To be closed, unless a request is on its way: that one would be lost.
-            if connection::quiet(&self.stream) {
+            if connection::nothing_pending(&self.stream) {
                 self.evicted = place.is_evicted().then_some(place);
                 return false;
             }
@@ -237,7 +237,7 @@
             }
         };
         let bytes = self.buffer.split_to(head.len);
-        let mut body = Body::new(head.framing, http::BODY_MOST);
+        let mut body = Body::new(head.framing, http::MAX_REQUEST_BODY);
         while !body.take(&mut self.buffer)? {
             if !self.more(core).await {
                 return Ok(None);
@@ -250,7 +250,7 @@
     /// many; for the latter two not where more has come: a request behind this one is taken already.
     fn ends(&self, core: &Core, table: &ClientTable, last: bool) -> bool {
         let due = core.draining.get() || (table.crowded() && !self.reused);
-        last || due && self.buffer.is_empty() && connection::quiet(&self.stream)
+        last || due && self.buffer.is_empty() && connection::nothing_pending(&self.stream)
     }
 
     async fn more(&mut self, core: &Core) -> bool {
@@ -306,7 +306,7 @@
         core: &Rc<Core>,
         table: &ClientTable,
         name: Vec<u8>,
-        (mut demand, forward): (Demand, Forward),
+        (mut demand, forward): (Demand, ForwardedRequest),
         last: bool,
     ) -> bool {
         // The client counts its time from when it sent the request.
@@ -371,7 +371,7 @@
         };
         let rest = async {
             let mut read = 0;
-            while read < 4 * http::BODY_MOST {
+            while read < 4 * http::MAX_REQUEST_BODY {
                 self.buffer.clear();
                 match read_some(&mut self.stream, &mut self.buffer).await {
                     Ok(n @ 1..) => read += n,
--- a/limeway/src/clients/client_table.rs
+++ b/limeway/src/clients/client_table.rs
@@ -1,12 +1,12 @@
 //! The open connections of clients: how many there may be, and which of them go to make room for others.
 //!
-//! Three marks divide the number that [`Descriptors`] allows. Beyond the first, a connection ends with the answer to
+//! Three marks divide the number that [`DescriptorBudget`] allows. Beyond the first, a connection ends with the answer to
 //! its first request. Beyond the second, connections without a request are told to go, as many at a time as lead
 //! back to the first: ahead of need, as each takes a moment to go. Beyond the third, a new connection is turned away
 //! with an answer if no other can go for it; between the third and the limit there is room for those answers. So
 //! connections are accepted at once, and none waits in the system's queue for another to go.
 
-use crate::network::descriptors::{Descriptors, Held, Owner};
+use crate::network::descriptors::{CountGuard, DescriptorBudget, Owner};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -98,7 +98,7 @@
 
 /// The connections of clients.
 pub struct ClientTable {
-    descriptors: Rc<Descriptors>,
+    descriptors: Rc<DescriptorBudget>,
     /// Connections that can be told to go, by phase, the oldest first.
     waiting: [RefCell<BTreeMap<u64, Waiting>>; PHASES],
     next_key: Cell<u64>,
@@ -115,7 +115,7 @@
 
 impl ClientTable {
     /// No connections yet.
-    pub fn new(descriptors: Rc<Descriptors>) -> Rc<Self> {
+    pub fn new(descriptors: Rc<DescriptorBudget>) -> Rc<Self> {
         Rc::new(ClientTable {
             descriptors,
             waiting: Default::default(),
@@ -143,9 +143,9 @@
     }
 
     /// Counts a connection that has just been accepted.
-    pub fn accept(&self) -> Held {
+    pub fn accept(&self) -> CountGuard {
         self.accepted.set(Some(Instant::now()));
-        self.descriptors.hold(Owner::Clients)
+        self.descriptors.acquire(Owner::Clients)
     }
 
     /// Time since a connection was last accepted.
--- a/limeway/src/clients/request.rs
+++ b/limeway/src/clients/request.rs
@@ -1,7 +1,7 @@
 //! A client's request as it stands in the message: checked all through before anything else hears of it.
 
 use crate::network::http::{Framing, Head, HttpError};
-use crate::upstream::attempts::Forward;
+use crate::upstream::attempts::ForwardedRequest;
 use pondgw::{Demand, Effect, Setup};
 
 /// Longest wait that a client may state, in milliseconds.
@@ -73,7 +73,7 @@
     /// Whether this limiter is ready.
     Health,
     /// A request for the module, under the client's own id.
-    Demand(Vec<u8>, Demand, Forward),
+    Demand(Vec<u8>, Demand, ForwardedRequest),
 }
 
 fn text(value: Option<&[u8]>) -> Option<&str> {
@@ -145,7 +145,7 @@
         spread,
         first,
     };
-    Ok(ClientMessage::Demand(id.to_vec(), demand, Forward { head: forward, body }))
+    Ok(ClientMessage::Demand(id.to_vec(), demand, ForwardedRequest { head: forward, body }))
 }
 
 /// A whole number in plain digits, without a sign.
--- a/limeway/src/config.rs
+++ b/limeway/src/config.rs
@@ -1,7 +1,7 @@
 //! The JSON configuration and the environment, checked; each error names its key.
 
-use crate::discovery::catalog::List;
-use crate::network::descriptors::SOCKETS_LEAST;
+use crate::discovery::catalog::ServerList;
+use crate::network::descriptors::MIN_SOCKETS;
 use pondgw::Setup;
 use serde::Deserialize;
 use std::fmt;
@@ -42,7 +42,7 @@
     #[serde(default)]
     peers: Vec<String>,
     counter: Option<String>,
-    known: Option<List>,
+    known: Option<ServerList>,
     settings: Option<serde_json::Value>,
 }
 
@@ -61,7 +61,7 @@
 
 /// What may change while the program runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Places {
+pub struct ServiceAddresses {
     /// Where discovery answers.
     pub discovery: SocketAddr,
     /// Where the counter answers, if there is one.
@@ -70,16 +70,16 @@
     file: Option<SocketAddr>,
 }
 
-impl Places {
+impl ServiceAddresses {
     /// Reads the whole configuration again. The environment cannot change while the program runs, so what the
     /// file newly says of discovery goes before it; what it said already does not.
-    pub fn reread(self, env: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        let read = Config::load(env)?.places;
+    pub fn reload(self, env: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
+        let read = Config::load(env)?.service_addresses;
         let discovery = match read.file {
             Some(file) if read.file != self.file => file,
             _ => self.discovery,
         };
-        Ok(Places { discovery, ..read })
+        Ok(ServiceAddresses { discovery, ..read })
     }
 }
 
@@ -90,17 +90,17 @@
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where discovery and the counter answer.
-    pub places: Places,
+    pub service_addresses: ServiceAddresses,
     /// For random numbers.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// DescriptorBudget that the process may hold.
     pub sockets: usize,
     /// Memory that it may take, in megabytes.
     pub memory_mb: f64,
     /// Where messages of other limiters arrive, and the address of each limiter.
     pub peers: Option<(SocketAddr, Vec<SocketAddr>)>,
     /// The servers as last known.
-    pub known: Option<List>,
+    pub known_servers: Option<ServerList>,
     /// The settings object.
     pub setup: Setup,
 }
@@ -132,8 +132,8 @@
         let seed = file.seed.ok_or_else(|| ConfigError::new("seed", "is missing"))?;
         let seed = u64::from_str_radix(&seed, 16)
             .map_err(|_| ConfigError::new("seed", "is no hexadecimal number"))?;
-        if file.limits.sockets < SOCKETS_LEAST {
-            return Err(ConfigError::new("limits.sockets", format!("is below {SOCKETS_LEAST}")));
+        if file.limits.sockets < MIN_SOCKETS {
+            return Err(ConfigError::new("limits.sockets", format!("is below {MIN_SOCKETS}")));
         }
         let settings = file.settings.ok_or_else(|| ConfigError::new("settings", "is missing"))?;
         let setup =
@@ -153,12 +153,12 @@
         Ok(Config {
             name: env("ROUTER_NAME").or(file.name).unwrap_or_default(),
             listen,
-            places: Places { discovery, counter, file: in_file },
+            service_addresses: ServiceAddresses { discovery, counter, file: in_file },
             seed,
             sockets: file.limits.sockets,
             memory_mb: file.limits.memory_mb,
             peers,
-            known: file.known,
+            known_servers: file.known,
             setup,
         })
     }
--- a/limeway/src/core.rs
+++ b/limeway/src/core.rs
@@ -2,13 +2,13 @@
 //! Holds no policy: what the module asks for is carried out, within what the site permits.
 
 use crate::clock::Clock;
-use crate::config::{Config, Places};
-use crate::discovery::catalog::List;
+use crate::config::{Config, ServiceAddresses};
+use crate::discovery::catalog::ServerList;
 use crate::log_limiter::LogLimiter;
-use crate::network::descriptors::Descriptors;
+use crate::network::descriptors::DescriptorBudget;
 use crate::network::loop_lag::LoopLag;
-use crate::network::network_event::{End, EventSink, NetworkEvent, Served};
-use crate::upstream::attempts::{Attempts, Forward, Start};
+use crate::network::network_event::{AttemptResult, EventSink, NetworkEvent, ServedResponse};
+use crate::upstream::attempts::{AttemptRunner, ForwardedRequest, NewAttempt};
 use crate::upstream::servers::Pools;
 use crate::{counter, peers};
 use pondgw::*;
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub enum Answer {
     /// A server's 200.
-    Served(Served),
+    Served(ServedResponse),
     /// Trying again is harmless; when to come back, 0 for no advice.
     Refused(Micros),
     /// Nothing is promised.
@@ -54,14 +54,14 @@
     /// Ends the attempt with a status; nothing once it has been told to end.
     stop: Option<oneshot::Sender<Status>>,
     /// Whether it should still be written.
-    wanted: Rc<Cell<bool>>,
+    may_send: Rc<Cell<bool>>,
     out: bool,
 }
 
 impl Attempt {
     /// Tells it to end; false if it has been told before or is over.
     fn end(&mut self, status: Status) -> bool {
-        self.wanted.set(false);
+        self.may_send.set(false);
         self.stop.take().is_some_and(|stop| stop.send(status).is_ok())
     }
 }
@@ -71,7 +71,7 @@
     name: Rc<[u8]>,
     /// Where the final answer goes; nothing once it has been given.
     reply: Option<oneshot::Sender<Answer>>,
-    forward: Rc<Forward>,
+    request: Rc<ForwardedRequest>,
     deadline: Micros,
     attempts: Vec<Attempt>,
 }
@@ -102,12 +102,12 @@
     /// The module's clock.
     pub clock: Rc<Clock>,
     /// Who may open connections.
-    pub descriptors: Rc<Descriptors>,
+    pub descriptors: Rc<DescriptorBudget>,
     /// How long what is read may have waited.
     pub lag: Arc<LoopLag>,
     /// Connections to servers.
     pub pools: Rc<Pools>,
-    attempts: Rc<Attempts>,
+    attempt_runner: Rc<AttemptRunner>,
     /// Connections to the counter.
     pub counter: Option<Rc<counter::Counter>>,
     /// The way to other limiters.
@@ -115,11 +115,11 @@
     /// Where the parts that talk to the network report to.
     pub sink: EventSink,
     /// Where discovery and the counter are at present.
-    pub places: Cell<Places>,
+    pub service_addresses: Cell<ServiceAddresses>,
     /// Discovery has moved.
-    pub moved: Notify,
+    pub discovery_moved: Notify,
     /// Discovery may be watched: at once where it pushes, else when the module asks.
-    pub watch: Notify,
+    pub watch_requested: Notify,
     /// Clients may be sent here.
     pub ready: Cell<bool>,
     /// The process has been told to end.
@@ -137,7 +137,7 @@
     pub fn new(
         config: Config,
         peers: Option<Rc<peers::Peers>>,
-        descriptors: Rc<Descriptors>,
+        descriptors: Rc<DescriptorBudget>,
         lag: Arc<LoopLag>,
     ) -> Rc<Self> {
         let core = Rc::new_cyclic(|core: &Weak<Core>| {
@@ -150,8 +150,8 @@
             Self::with_sink(config, peers, descriptors, lag, sink)
         });
         // Also where nothing is known: the module says when discovery is asked from then on.
-        let none = List { seq: 0, whole: true, hosts: Vec::new(), spoilt: 0 };
-        core.learn(ListKind::Cached, core.config.known.as_ref().unwrap_or(&none));
+        let none = ServerList { seq: 0, whole: true, hosts: Vec::new(), invalid_rows: 0 };
+        core.update_servers(ListKind::Cached, core.config.known_servers.as_ref().unwrap_or(&none));
         core
     }
 
@@ -159,31 +159,32 @@
     fn with_sink(
         config: Config,
         peers: Option<Rc<peers::Peers>>,
-        descriptors: Rc<Descriptors>,
+        descriptors: Rc<DescriptorBudget>,
         lag: Arc<LoopLag>,
         sink: EventSink,
     ) -> Self {
         let (clock, log_limiter) = (Rc::new(Clock::new()), Rc::new(LogLimiter::default()));
         let limit = config.setup.settings.counter.as_ref().map_or(0, |counter| counter.limit);
         let counter = config
-            .places
+            .service_addresses
             .counter
             .map(|address| counter::Counter::new(address, limit, descriptors.clone(), sink.clone()));
         let pools = Rc::new(Pools::new(&config.setup, descriptors.clone()));
-        let attempts = Attempts::new(pools.clone(), clock.clone(), log_limiter.clone(), sink.clone());
+        let attempt_runner =
+            AttemptRunner::new(pools.clone(), clock.clone(), log_limiter.clone(), sink.clone());
         let gateway = Gateway::new(config.setup.settings.clone(), config.seed, clock.now());
         Core {
             pools,
-            attempts,
+            attempt_runner,
             clock,
             descriptors,
             lag,
             counter,
             peers,
             sink,
-            places: Cell::new(config.places),
-            moved: Notify::new(),
-            watch: Notify::new(),
+            service_addresses: Cell::new(config.service_addresses),
+            discovery_moved: Notify::new(),
+            watch_requested: Notify::new(),
             ready: Cell::new(false),
             draining: Cell::new(false),
             ending_since: Cell::new(0),
@@ -220,35 +221,35 @@
     }
 
     /// Goes over to other addresses of discovery and the counter.
-    pub fn move_to(&self, places: Places) {
-        let old = self.places.replace(places);
+    pub fn set_service_addresses(&self, places: ServiceAddresses) {
+        let old = self.service_addresses.replace(places);
         if let (Some(counter), Some(address)) = (&self.counter, places.counter) {
-            counter.move_to(address);
+            counter.set_address(address);
         }
         if old.discovery != places.discovery {
-            self.moved.notify_one();
+            self.discovery_moved.notify_one();
         }
     }
 
     /// Takes news of the servers: pools first, so that nothing more goes where it should not.
-    pub fn learn(self: &Rc<Self>, kind: ListKind, list: &List) {
-        let entries = self.pools.learn(kind, list);
-        self.feed(Event::Servers { kind, entries });
+    pub fn update_servers(self: &Rc<Self>, kind: ListKind, list: &ServerList) {
+        let entries = self.pools.update(kind, list);
+        self.handle_event(Event::Servers { kind, entries });
     }
 
     /// Takes in what has happened on the network.
     fn on_network(self: &Rc<Self>, event: NetworkEvent) {
         match event {
-            NetworkEvent::AttemptEnded { id, number, end } => self.attempt_ended(id, number, end),
+            NetworkEvent::AttemptEnded { id, number, result } => self.attempt_ended(id, number, result),
             NetworkEvent::Counted { name, status, total, latency } => {
-                self.feed(Event::Counted { name, status, total, latency })
+                self.handle_event(Event::Counted { name, status, total, latency })
             }
-            NetworkEvent::PeerMessage { from, data } => self.feed(Event::Peer { from, data }),
+            NetworkEvent::PeerMessage { from, data } => self.handle_event(Event::Peer { from, data }),
         }
     }
 
     /// Gives the module an event and carries out what it wants done before the next one.
-    pub fn feed(self: &Rc<Self>, event: Event) {
+    pub fn handle_event(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         state.events.push_back(event);
         self.run(&mut state);
@@ -287,7 +288,7 @@
                     peers.tell(peer, &data);
                 }
             }
-            Action::Watch => self.watch.notify_one(),
+            Action::Watch => self.watch_requested.notify_one(),
         }
     }
 
@@ -317,25 +318,31 @@
         let copies = !allow.second_copies && open.attempts.iter().any(|a| a.out);
         if over || copies || number >= allow.max_attempts as usize {
             let closed = open.reply.is_none();
-            open.attempts.push(Attempt { server, sent: now, stop: None, wanted: Rc::default(), out: false });
+            open.attempts.push(Attempt {
+                server,
+                sent: now,
+                stop: None,
+                may_send: Rc::default(),
+                out: false,
+            });
             state.events.push_back(moot(number, closed));
             return;
         }
         let (stop, stopped) = oneshot::channel();
-        let wanted = Rc::new(Cell::new(true));
+        let may_send = Rc::new(Cell::new(true));
         open.attempts.push(Attempt {
             server,
             sent: now,
             stop: Some(stop),
-            wanted: wanted.clone(),
+            may_send: may_send.clone(),
             out: true,
         });
-        let (forward, number, deadline) = (open.forward.clone(), number as u32, open.deadline);
-        if timeout > 0 && now + timeout < deadline {
+        let (request, number, request_deadline) = (open.request.clone(), number as u32, open.deadline);
+        if timeout > 0 && now + timeout < request_deadline {
             self.set(state, now + timeout, Due::Attempt(id, number));
         }
-        let until = if timeout > 0 { deadline.min(now + timeout) } else { deadline };
-        self.attempts.start(Start { id, number, server, forward, until, wanted }, stopped);
+        let deadline = if timeout > 0 { request_deadline.min(now + timeout) } else { request_deadline };
+        self.attempt_runner.start(NewAttempt { id, number, server, request, deadline, may_send }, stopped);
     }
 
     /// A client's request has come whole. Gives its number and where its answer will come; nothing where another
@@ -344,7 +351,7 @@
         self: &Rc<Self>,
         name: &[u8],
         mut demand: Demand,
-        forward: Forward,
+        forward: ForwardedRequest,
     ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
         let (reply, answer) = oneshot::channel();
         let mut state = self.state.borrow_mut();
@@ -360,7 +367,7 @@
         demand.left = self.time_left(demand.left);
         let deadline = self.clock.now() + demand.left;
         let open =
-            Open { name, reply: Some(reply), forward: Rc::new(forward), deadline, attempts: Vec::new() };
+            Open { name, reply: Some(reply), request: Rc::new(forward), deadline, attempts: Vec::new() };
         state.open.insert(demand.id, open);
         self.set(state, deadline.saturating_sub(GUARD), Due::Guard(demand.id));
         let id = demand.id;
@@ -387,8 +394,8 @@
     }
 
     /// An attempt has ended; its connection is closed or back in its pool.
-    fn attempt_ended(self: &Rc<Self>, id: RequestId, number: u32, end: End) {
-        let End { status, served, load } = end;
+    fn attempt_ended(self: &Rc<Self>, id: RequestId, number: u32, result: AttemptResult) {
+        let AttemptResult { status, response, load } = result;
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         let Some(open) = state.open.get_mut(&id) else { return };
@@ -397,10 +404,10 @@
         attempt.stop = None;
         let (server, latency) = (attempt.server, self.clock.now().saturating_sub(attempt.sent));
         log::debug!("request {id} attempt {number} at server {server}: {status:?} after {latency} us");
-        if let Some(served) = served {
+        if let Some(response) = response {
             // The first good answer goes to the client; a later one finds the request closed.
             if let Some(reply) = state.take_reply(id) {
-                let _ = reply.send(Answer::Served(served));
+                let _ = reply.send(Answer::Served(response));
             }
         }
         let closed = state.open.get(&id).is_none_or(|o| o.reply.is_none());
@@ -504,7 +511,7 @@
     fn take_reply(&mut self, id: RequestId) -> Option<oneshot::Sender<Answer>> {
         let open = self.open.get_mut(&id)?;
         let reply = open.reply.take()?;
-        open.attempts.iter().for_each(|attempt| attempt.wanted.set(false));
+        open.attempts.iter().for_each(|attempt| attempt.may_send.set(false));
         self.names.remove(&open.name);
         Some(reply)
     }
--- a/limeway/src/counter.rs
+++ b/limeway/src/counter.rs
@@ -1,7 +1,7 @@
 //! Calls to the counter.
 
-use crate::network::connection::{Broken, Conn, Reply};
-use crate::network::descriptors::{self, Descriptors, Held, Owner};
+use crate::network::connection::{ExchangeError, OutboundConnection, Response};
+use crate::network::descriptors::{self, CountGuard, DescriptorBudget, Owner};
 use crate::network::network_event::{EventSink, NetworkEvent};
 use pondgw::{Micros, Status};
 use std::cell::{Cell, RefCell};
@@ -19,7 +19,7 @@
 pub struct Counter {
     address: Cell<SocketAddr>,
     limit: Duration,
-    descriptors: Rc<Descriptors>,
+    descriptors: Rc<DescriptorBudget>,
     sink: EventSink,
     idle: RefCell<Vec<CounterConnection>>,
     /// Connections to the present address.
@@ -28,20 +28,20 @@
 
 /// A connection, counted among those to its address.
 struct CounterConnection {
-    conn: Conn,
-    _open: Held,
+    conn: OutboundConnection,
+    _open: CountGuard,
 }
 
 /// Connections to one address at most: the counter resets those beyond 32, and after a cut still holds as many that
 /// were given up here without its hearing of it.
-const CONNECTIONS_MOST: usize = descriptors::COUNTER_MOST;
+const CONNECTIONS_MOST: usize = descriptors::MAX_COUNTER_CONNECTIONS;
 
 impl Counter {
     /// The counter at an address; a call is given up after `limit`, and its end goes to the sink.
     pub fn new(
         address: SocketAddr,
         limit: Micros,
-        descriptors: Rc<Descriptors>,
+        descriptors: Rc<DescriptorBudget>,
         sink: EventSink,
     ) -> Rc<Self> {
         let limit = Duration::from_micros(limit);
@@ -57,7 +57,7 @@
 
     /// Moves to another address: new calls go there, those under way finish where they are, and connections to
     /// the old address are let go as they fall idle.
-    pub fn move_to(&self, address: SocketAddr) {
+    pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.idle.borrow_mut().clear();
             self.open.replace(Rc::default());
@@ -85,7 +85,7 @@
     fn take(&self) -> Option<CounterConnection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(kept) = idle.pop() {
-            if kept.conn.idle() < IDLE_MOST && kept.conn.quiet() {
+            if kept.conn.idle_time() < IDLE_MOST && kept.conn.nothing_pending() {
                 return Some(kept);
             }
         }
@@ -96,9 +96,10 @@
     async fn open(&self) -> Result<CounterConnection, Status> {
         let open = self.open.borrow().clone();
         // Nothing was added where no connection may be opened.
-        let held = self.descriptors.try_hold(Owner::Counter).filter(|_| open.get() < CONNECTIONS_MOST);
-        let (held, _open) = (held.ok_or(Status::Full)?, Held::new(&open));
-        let conn = Conn::open(self.address.get(), held).await.map_err(|_| Status::ConnectFailed)?;
+        let held = self.descriptors.try_acquire(Owner::Counter).filter(|_| open.get() < CONNECTIONS_MOST);
+        let (held, _open) = (held.ok_or(Status::Full)?, CountGuard::new(&open));
+        let conn =
+            OutboundConnection::connect(self.address.get(), held).await.map_err(|_| Status::ConnectFailed)?;
         Ok(CounterConnection { conn, _open })
     }
 
@@ -121,13 +122,13 @@
         if call.conn.write(&message, written).await.is_err() {
             return (Status::ConnectFailed, 0.0);
         }
-        let Reply { head, body, keep, .. } = match call.conn.read().await {
+        let Response { head, body, reusable, .. } = match call.conn.read_response().await {
             // Nobody could tell whether all digits of such a total have come.
-            Ok(reply) if reply.ended_by_close => return (Status::Error, 0.0),
+            Ok(reply) if reply.close_delimited => return (Status::Error, 0.0),
             Ok(reply) => reply,
-            Err(Broken::Ended(_)) => return (Status::Reset, 0.0),
+            Err(ExchangeError::Connection(_)) => return (Status::Reset, 0.0),
             // Added, but the total cannot be read.
-            Err(Broken::Spoilt(_)) => return (Status::Error, 0.0),
+            Err(ExchangeError::InvalidResponse(_)) => return (Status::Error, 0.0),
         };
         let ended = match head.status {
             200 => match std::str::from_utf8(&body).ok().and_then(|t| t.trim().parse::<f64>().ok()) {
@@ -138,8 +139,8 @@
             _ => (Status::Error, 0.0),
         };
         // A connection that has brought what makes no sense is of no further use.
-        if keep && ended.0 != Status::Error && self.address.get() == address {
-            call.conn.rest();
+        if reusable && ended.0 != Status::Error && self.address.get() == address {
+            call.conn.mark_idle();
             self.idle.borrow_mut().push(call);
         }
         ended
@@ -147,6 +148,8 @@
 
     /// Lets go of connections that have stood idle too long or were closed from the other side.
     pub fn prune(&self) {
-        self.idle.borrow_mut().retain(|kept| kept.conn.idle() < IDLE_MOST && kept.conn.quiet());
+        self.idle
+            .borrow_mut()
+            .retain(|kept| kept.conn.idle_time() < IDLE_MOST && kept.conn.nothing_pending());
     }
 }
--- a/limeway/src/discovery/catalog.rs
+++ b/limeway/src/discovery/catalog.rs
@@ -49,7 +49,7 @@
 /// A list of servers, or the changes to one.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(from = "Raw")]
-pub struct List {
+pub struct ServerList {
     /// Its version.
     pub seq: u64,
     /// The whole list rather than changes.
@@ -57,7 +57,7 @@
     /// The servers.
     pub hosts: Vec<Row>,
     /// Rows that make no sense.
-    pub spoilt: usize,
+    pub invalid_rows: usize,
 }
 
 /// A list as it comes, its rows not yet judged: as text, which takes less memory than a tree of values.
@@ -68,7 +68,7 @@
     hosts: Vec<Box<RawValue>>,
 }
 
-impl From<Raw> for List {
+impl From<Raw> for ServerList {
     /// Judges each row by itself: one that makes no sense must not take the others with it.
     fn from(raw: Raw) -> Self {
         let rows = raw.hosts.len();
@@ -79,6 +79,6 @@
             .filter_map(|row| serde_json::from_str(row.get()).ok())
             .filter(sound)
             .collect();
-        List { seq: raw.seq, whole: raw.whole, spoilt: rows - hosts.len(), hosts }
+        ServerList { seq: raw.seq, whole: raw.whole, invalid_rows: rows - hosts.len(), hosts }
     }
 }
--- a/limeway/src/discovery/follower.rs
+++ b/limeway/src/discovery/follower.rs
@@ -6,8 +6,8 @@
 //! fallen silent.
 
 use crate::core::Core;
-use crate::discovery::catalog::List;
-use crate::network::connection::{Broken, Conn, Reply};
+use crate::discovery::catalog::ServerList;
+use crate::network::connection::{ExchangeError, OutboundConnection, Response};
 use crate::network::descriptors::{self, Owner};
 use crate::network::http;
 use pondgw::{Event, ListKind, Setup};
@@ -32,7 +32,7 @@
 /// pushed: its agent answers at once, and what the agent has counts as told from the first moment on.
 const GRACE_PART: u32 = 2;
 /// Calls under way at most: as many as may be late one after the other within the time above.
-const CALLS_MOST: usize = descriptors::DISCOVERY_MOST;
+const CALLS_MOST: usize = descriptors::MAX_DISCOVERY_CALLS;
 /// Bytes that a list may have as it comes, for each megabyte of the memory limit: an eighth, as it is held once as
 /// it is read, twice while that grows, and then as text and as rows. A row has some 126 bytes, so 64 MB bear a list
 /// of 60,000 servers.
@@ -52,7 +52,7 @@
         tokio::select! {
             biased;
             // The old agent is told no more: a pending watch is given up, and the whole list is asked of the new.
-            () = core.moved.notified() => moved = true,
+            () = core.discovery_moved.notified() => moved = true,
             () = Follower::new(&core, moved).run() => {}
         }
     }
@@ -70,7 +70,7 @@
 }
 
 /// A list, and the connection that it came on if that can be used again.
-type Answer = (List, Option<Conn>);
+type Answer = (ServerList, Option<OutboundConnection>);
 
 /// Follows discovery at one address.
 struct Follower<'a> {
@@ -80,7 +80,7 @@
     seq: Option<u64>,
     /// How long the next call waits for changes, in milliseconds.
     hold_ms: u64,
-    conn: Option<Conn>,
+    conn: Option<OutboundConnection>,
     calls: JoinSet<io::Result<Answer>>,
     /// The calls under way, the oldest first.
     order: VecDeque<AbortHandle>,
@@ -95,7 +95,8 @@
         let ask = core.config.setup.settings.ask;
         // What was known at the start is what the module holds: changes since then are enough, and cost discovery
         // less than the whole list. They are asked for without a wait, as the limiter is not ready before.
-        let known = core.config.known.as_ref().filter(|list| !moved && list.whole && list.spoilt == 0);
+        let known =
+            core.config.known_servers.as_ref().filter(|list| !moved && list.whole && list.invalid_rows == 0);
         let now = Instant::now();
         Follower {
             core,
@@ -124,7 +125,7 @@
                     Ok((id, Err(e))) => self.on_failure(id, &e),
                     Err(e) => self.on_failure(e.id(), &io::Error::other("the call was ended")),
                 },
-                () = self.core.watch.notified(), if on_request => self.next = Next::Begin(Instant::now()),
+                () = self.core.watch_requested.notified(), if on_request => self.next = Next::Begin(Instant::now()),
                 () = sleep_until(at), if !on_request => match self.next {
                     Next::Begin(_) => self.begin(),
                     _ => self.on_late(),
@@ -178,7 +179,7 @@
 
     fn report_failure(&mut self) {
         self.next = Next::OnRequest;
-        self.core.feed(Event::Servers { kind: ListKind::Failed, entries: Vec::new() });
+        self.core.handle_event(Event::Servers { kind: ListKind::Failed, entries: Vec::new() });
     }
 
     fn back_off(&mut self) {
@@ -197,15 +198,15 @@
         let early = self.began.elapsed() < Duration::from_millis(self.hold_ms) / 2;
         // Changes refer to the list held; the whole list stands for itself, unless some of it cannot be read:
         // whoever is not named then may well be there.
-        if list.whole && list.spoilt == 0 {
-            self.core.learn(ListKind::Full, &list);
+        if list.whole && list.invalid_rows == 0 {
+            self.core.update_servers(ListKind::Full, &list);
         } else {
             // Also where nothing has changed: the module knows by that how old news can be.
-            self.core.learn(ListKind::Delta, &list);
+            self.core.update_servers(ListKind::Delta, &list);
         }
         self.core.ready.set(true);
-        if list.spoilt > 0 {
-            self.core.log_limiter.warn(format_args!("discovery: {} rows make no sense", list.spoilt));
+        if list.invalid_rows > 0 {
+            self.core.log_limiter.warn(format_args!("discovery: {} rows make no sense", list.invalid_rows));
             (self.seq, self.hold_ms) = (None, FIRST_HOLD_MS);
             return self.back_off();
         }
@@ -232,11 +233,16 @@
 /// Longest list that is read, in bytes.
 fn list_most(core: &Core) -> usize {
     // A figure that makes no sense becomes nought, or the most that there is.
-    ((core.config.memory_mb * LIST_PART) as usize).max(http::ANSWER_BODY_MOST)
+    ((core.config.memory_mb * LIST_PART) as usize).max(http::MAX_RESPONSE_BODY)
 }
 
 /// Asks for the whole list, or for what is newer than the version held, waiting so long for it.
-async fn call(core: Rc<Core>, kept: Option<Conn>, seq: Option<u64>, hold_ms: u64) -> io::Result<Answer> {
+async fn call(
+    core: Rc<Core>,
+    kept: Option<OutboundConnection>,
+    seq: Option<u64>,
+    hold_ms: u64,
+) -> io::Result<Answer> {
     let target = match seq {
         Some(seq) => format!("/catalog/members?from={seq}&hold_ms={hold_ms}"),
         None => "/catalog/members".to_owned(),
@@ -244,24 +250,29 @@
     let message = format!("GET {target} HTTP/1.1\r\nHost: discovery\r\n\r\n");
     let most = list_most(&core);
     let exchange = async {
-        let mut open = match kept.filter(Conn::quiet) {
+        let mut open = match kept.filter(OutboundConnection::nothing_pending) {
             Some(open) => open,
             None => {
-                let held = core.descriptors.try_hold(Owner::Discovery);
+                let held = core.descriptors.try_acquire(Owner::Discovery);
                 let held = held.ok_or_else(|| io::Error::other("all calls that may be open are"))?;
-                Conn::open_for(core.places.get().discovery, held, most).await?
+                OutboundConnection::connect_with_body_limit(
+                    core.service_addresses.get().discovery,
+                    held,
+                    most,
+                )
+                .await?
             }
         };
         open.write(message.as_bytes(), &Cell::new(false)).await?;
-        let Reply { head, body, keep, .. } = open.read().await.map_err(|e| match e {
-            Broken::Ended(e) => e,
+        let Response { head, body, reusable, .. } = open.read_response().await.map_err(|e| match e {
+            ExchangeError::Connection(e) => e,
             e => io::Error::other(format!("{e}; lists of up to {most} bytes are read")),
         })?;
         if head.status != 200 {
             return Err(io::Error::other(format!("status {}", head.status)));
         }
         let list = serde_json::from_slice(&body)?;
-        Ok((list, keep.then_some(open)))
+        Ok((list, reusable.then_some(open)))
     };
     timeout(Duration::from_millis(hold_ms) + NOTIFIED_AFTER, exchange).await?
 }
--- a/limeway/src/main.rs
+++ b/limeway/src/main.rs
@@ -18,7 +18,7 @@
 use clients::client_table::{ClientTable, Closing};
 use clients::listener;
 use config::Config;
-use network::descriptors::Descriptors;
+use network::descriptors::DescriptorBudget;
 use network::loop_lag::LoopLag;
 use signals::{Request, Signals};
 use start_error::StartError;
@@ -82,7 +82,7 @@
         }
         None => None,
     };
-    let descriptors = Descriptors::divide(config.sockets);
+    let descriptors = DescriptorBudget::divide(config.sockets);
     let table = ClientTable::new(descriptors.clone());
     log::info!("limiter {} listens at {}", config.name, config.listen);
     let core = Core::new(config, peers, descriptors, lag);
@@ -138,10 +138,10 @@
 
 /// Takes in the file anew; one that cannot be used changes nothing.
 fn reload(core: &Core) {
-    match core.places.get().reread(env) {
+    match core.service_addresses.get().reload(env) {
         Ok(places) => {
             log::warn!("reloaded: discovery {}, counter {:?}", places.discovery, places.counter);
-            core.move_to(places);
+            core.set_service_addresses(places);
         }
         Err(e) => log::error!("the configuration stays as it was: {e}"),
     }
--- a/limeway/src/network/descriptors.rs
+++ b/limeway/src/network/descriptors.rs
@@ -4,14 +4,14 @@
 //! what the others hold, and what is left of their shares, still leaves one over. So the sum over all owners of the
 //! larger of "open" and "share" never exceeds the budget: nobody is kept from its share, what is not needed
 //! elsewhere can be used, and the process does not run out. The shares add up to less than the budget from
-//! [`SOCKETS_LEAST`] on.
+//! [`MIN_SOCKETS`] on.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 /// Least number of descriptors with which the limiter can work at all.
-pub const SOCKETS_LEAST: usize = 64;
-/// Descriptors that are no connections: standard streams (3), runtime (3), signals (3), listener, datagrams, the
+pub const MIN_SOCKETS: usize = 64;
+/// DescriptorBudget that are no connections: standard streams (3), runtime (3), signals (3), listener, datagrams, the
 /// configuration while it is read, a connection that is just being accepted, and a few inherited from the parent.
 const NO_CONNECTIONS: usize = 16;
 /// Clients hold at most this part of all descriptors for requests (deployment page).
@@ -27,9 +27,9 @@
 /// Bounds on that share.
 const COUNTER_SHARE: (usize, usize) = (2, 8);
 /// Connections to one address of the counter at most, see `counter`.
-pub const COUNTER_MOST: usize = 24;
+pub const MAX_COUNTER_CONNECTIONS: usize = 24;
 /// Calls to discovery that are under way at most, see `discovery`; all of them are sure of a connection.
-pub const DISCOVERY_MOST: usize = 4;
+pub const MAX_DISCOVERY_CALLS: usize = 4;
 
 /// Who opens connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -57,7 +57,7 @@
 
 /// The descriptors of the process.
 #[derive(Debug)]
-pub struct Descriptors {
+pub struct DescriptorBudget {
     budget: usize,
     requests: usize,
     allotments: [Allotment; OWNERS.len()],
@@ -65,40 +65,45 @@
 
 /// Counts what is open for as long as it lives.
 #[derive(Debug)]
-pub struct Held(Rc<Cell<usize>>);
+pub struct CountGuard(Rc<Cell<usize>>);
 
-impl Held {
+impl CountGuard {
     /// One more.
     pub fn new(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
-        Held(open.clone())
+        CountGuard(open.clone())
     }
 }
 
-impl Drop for Held {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
-impl Descriptors {
+impl DescriptorBudget {
     /// Divides so many descriptors.
     pub fn divide(total: usize) -> Rc<Self> {
-        let total = total.max(SOCKETS_LEAST);
+        let total = total.max(MIN_SOCKETS);
         let requests = total / REQUESTS_PART;
         let allotment = |owner| {
             let (share, most) = match owner {
                 Owner::Clients => (requests, total),
                 Owner::Servers => (total / SERVERS_PART, requests + SERVERS_MORE),
                 // Twice the most at one address: those to an old one end on their own.
-                Owner::Counter => {
-                    ((total / COUNTER_PART).clamp(COUNTER_SHARE.0, COUNTER_SHARE.1), 2 * COUNTER_MOST)
-                }
-                Owner::Discovery => (DISCOVERY_MOST, DISCOVERY_MOST),
+                Owner::Counter => (
+                    (total / COUNTER_PART).clamp(COUNTER_SHARE.0, COUNTER_SHARE.1),
+                    2 * MAX_COUNTER_CONNECTIONS,
+                ),
+                Owner::Discovery => (MAX_DISCOVERY_CALLS, MAX_DISCOVERY_CALLS),
             };
             Allotment { open: Rc::default(), share, most }
         };
-        Rc::new(Descriptors { budget: total - NO_CONNECTIONS, requests, allotments: OWNERS.map(allotment) })
+        Rc::new(DescriptorBudget {
+            budget: total - NO_CONNECTIONS,
+            requests,
+            allotments: OWNERS.map(allotment),
+        })
     }
 
     /// Connections that clients hold for requests at most.
@@ -122,13 +127,13 @@
     }
 
     /// Takes a descriptor; nothing where the owner may open no more.
-    pub fn try_hold(&self, owner: Owner) -> Option<Held> {
-        (self.open(owner) < self.limit(owner)).then(|| self.hold(owner))
+    pub fn try_acquire(&self, owner: Owner) -> Option<CountGuard> {
+        (self.open(owner) < self.limit(owner)).then(|| self.acquire(owner))
     }
 
     /// Takes a descriptor that is open already.
-    pub fn hold(&self, owner: Owner) -> Held {
-        Held::new(&self.allotments[owner as usize].open)
+    pub fn acquire(&self, owner: Owner) -> CountGuard {
+        CountGuard::new(&self.allotments[owner as usize].open)
     }
 }
 
--- a/limeway/src/network/http.rs
+++ b/limeway/src/network/http.rs
@@ -5,11 +5,11 @@
 use std::ops::Range;
 
 /// Longest head of a message, in bytes.
-pub const HEAD_MOST: usize = 16 * 1024;
+pub const MAX_HEAD: usize = 16 * 1024;
 /// Longest body of a request, in bytes.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_REQUEST_BODY: usize = 64 * 1024;
 /// Longest body of a server's answer, in bytes: servers have been seen to send some 400 KB.
-pub const ANSWER_BODY_MOST: usize = 1024 * 1024;
+pub const MAX_RESPONSE_BODY: usize = 1024 * 1024;
 /// Most headers of a message.
 const HEADERS_MOST: usize = 64;
 /// Longest line that opens a chunk, in bytes; and all trailers together.
@@ -134,8 +134,8 @@
 /// What the library made of the bytes: nothing yet, a length, or an error.
 fn length(parsed: httparse::Result<usize>, have: usize) -> Result<Option<usize>, HttpError> {
     match parsed {
-        Ok(httparse::Status::Complete(len)) if len <= HEAD_MOST => Ok(Some(len)),
-        Ok(httparse::Status::Partial) if have < HEAD_MOST => Ok(None),
+        Ok(httparse::Status::Complete(len)) if len <= MAX_HEAD => Ok(Some(len)),
+        Ok(httparse::Status::Partial) if have < MAX_HEAD => Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(HttpError::HeadTooLong),
         Err(_) => Err(HttpError::Malformed),
     }
@@ -157,7 +157,7 @@
     }
     Ok(Some(Head {
         len,
-        framing: framing(parsed.headers, false, BODY_MOST)?,
+        framing: framing(parsed.headers, false, MAX_REQUEST_BODY)?,
         keep_alive: keep_alive(parsed.headers, parsed.version.unwrap_or(0)),
         status: 0,
         method: place(bytes, method.as_bytes()),
@@ -303,7 +303,7 @@
 }
 
 /// Whether bytes hold what reads as the first line of an answer.
-pub fn holds_status_line(bytes: &[u8]) -> bool {
+pub fn contains_status_line(bytes: &[u8]) -> bool {
     const VERSION: &[u8] = b"HTTP/1.";
     const DIGITS: Range<usize> = 9..12;
     bytes.windows(DIGITS.end).any(|line| {
--- a/limeway/src/network/network_event.rs
+++ b/limeway/src/network/network_event.rs
@@ -12,7 +12,7 @@
         /// Number of the attempt.
         number: u32,
         /// How it ended.
-        end: End,
+        result: AttemptResult,
     },
     /// A call to the counter has ended.
     Counted {
@@ -39,7 +39,7 @@
 
 /// A server's 200: headers worth passing on, and the body.
 #[derive(Debug)]
-pub struct Served {
+pub struct ServedResponse {
     /// Whole header lines.
     pub headers: Vec<u8>,
     /// The body.
@@ -47,17 +47,17 @@
 }
 
 /// How an attempt ended.
-pub struct End {
+pub struct AttemptResult {
     /// Its outcome.
     pub status: Status,
     /// The answer that goes to the client.
-    pub served: Option<Served>,
+    pub response: Option<ServedResponse>,
     /// What the server said of its load.
     pub load: Load,
 }
 
-impl From<Status> for End {
+impl From<Status> for AttemptResult {
     fn from(status: Status) -> Self {
-        End { status, served: None, load: Load::default() }
+        AttemptResult { status, response: None, load: Load::default() }
     }
 }
--- a/limeway/src/upstream/attempts.rs
+++ b/limeway/src/upstream/attempts.rs
@@ -2,9 +2,9 @@
 
 use crate::clock::Clock;
 use crate::log_limiter::LogLimiter;
-use crate::network::connection::{Broken, Conn, Reply};
+use crate::network::connection::{ExchangeError, OutboundConnection, Response};
 use crate::network::http;
-use crate::network::network_event::{End, EventSink, NetworkEvent, Served};
+use crate::network::network_event::{AttemptResult, EventSink, NetworkEvent, ServedResponse};
 use crate::upstream::servers::{Pools, Taken};
 use pondgw::{Load, Micros, RequestId, ServerId, Status};
 use std::cell::Cell;
@@ -17,7 +17,7 @@
 
 /// A client's request as it goes on to servers.
 #[derive(Debug)]
-pub struct Forward {
+pub struct ForwardedRequest {
     /// Request line and headers, without the last empty line and what depends on the attempt.
     pub head: Vec<u8>,
     /// The body.
@@ -25,7 +25,7 @@
 }
 
 /// An attempt to be made.
-pub struct Start {
+pub struct NewAttempt {
     /// The request.
     pub id: RequestId,
     /// Number of the attempt.
@@ -33,43 +33,43 @@
     /// Where it goes.
     pub server: ServerId,
     /// What is sent.
-    pub forward: Rc<Forward>,
+    pub request: Rc<ForwardedRequest>,
     /// Until when an answer is waited for, by the module's clock.
-    pub until: Micros,
+    pub deadline: Micros,
     /// Cleared once its request is over or it has been told to end: nothing is written from then on.
-    pub wanted: Rc<Cell<bool>>,
+    pub may_send: Rc<Cell<bool>>,
 }
 
 /// Makes attempts over the pools' connections.
-pub struct Attempts {
+pub struct AttemptRunner {
     pools: Rc<Pools>,
     clock: Rc<Clock>,
     log_limiter: Rc<LogLimiter>,
     sink: EventSink,
 }
 
-impl Attempts {
+impl AttemptRunner {
     /// Attempts over these pools, whose ends go to the sink.
     pub fn new(pools: Rc<Pools>, clock: Rc<Clock>, log_limiter: Rc<LogLimiter>, sink: EventSink) -> Rc<Self> {
-        Rc::new(Attempts { pools, clock, log_limiter, sink })
+        Rc::new(AttemptRunner { pools, clock, log_limiter, sink })
     }
 
     /// Makes an attempt and reports how it ended. `stopped` ends it before its time: its connection is closed by the
     /// time of the report, so that no further attempt can overlap with it.
-    pub fn start(self: &Rc<Self>, start: Start, stopped: oneshot::Receiver<Status>) {
+    pub fn start(self: &Rc<Self>, start: NewAttempt, stopped: oneshot::Receiver<Status>) {
         self.pools.count_out(start.server, true);
         let this = self.clone();
         tokio::task::spawn_local(async move {
             let written = Cell::new(false);
-            let end = tokio::select! {
+            let result = tokio::select! {
                 biased;
-                end = this.attempt(&start, &written) => end,
+                result = this.attempt(&start, &written) => result,
                 // Stopped before its last byte was handed over, it cannot have run.
                 status = stopped => {
                     if written.get() { status.unwrap_or(Status::Cancelled) } else { Status::Moot }.into()
                 }
             };
-            (this.sink)(NetworkEvent::AttemptEnded { id: start.id, number: start.number, end });
+            (this.sink)(NetworkEvent::AttemptEnded { id: start.id, number: start.number, result });
             this.pools.count_out(start.server, false);
         });
     }
@@ -77,15 +77,15 @@
     /// Whether a body that ended with its connection is the whole answer to its request, as far as that can be told:
     /// it is if the server lives on, and if no second answer is hidden in it.
     fn is_whole(&self, server: ServerId, began: Instant, body: &[u8]) -> bool {
-        !body.is_empty() && !http::holds_status_line(body) && self.pools.is_alive(server, began)
+        !body.is_empty() && !http::contains_status_line(body) && self.pools.is_alive(server, began)
     }
 
-    async fn attempt(&self, start: &Start, written: &Cell<bool>) -> End {
+    async fn attempt(&self, start: &NewAttempt, written: &Cell<bool>) -> AttemptResult {
         let (pools, began) = (&self.pools, Instant::now());
         let mut conn = match pools.take(start.server) {
             Some(Taken::Kept(conn)) => conn,
             Some(Taken::ToOpen(address, held)) => {
-                match timeout(pools.dial_timeout, Conn::open(address, held)).await {
+                match timeout(pools.dial_timeout, OutboundConnection::connect(address, held)).await {
                     Ok(Ok(conn)) => {
                         // What came with the connection may speak against this attempt: a process that was held up
                         // finds both at once. So the others that the same look at the network woke run first.
@@ -111,23 +111,23 @@
         };
         // While the connection came up the client may have left, the attempt may have been told to end, and the
         // server may have been drained or replaced: nothing is sent on then, and what is sound is kept for others.
-        if !start.wanted.get() {
+        if !start.may_send.get() {
             pools.give_back(start.server, conn);
             return Status::Moot.into();
         }
-        if !pools.serves(start.server, conn.to) {
+        if !pools.serves(start.server, conn.address) {
             return Status::Moot.into();
         }
         // What is left now: the connection may have taken long to come up.
-        let message = message(&start.forward, start.until.saturating_sub(self.clock.now()));
+        let message = message(&start.request, start.deadline.saturating_sub(self.clock.now()));
         if let Err(e) = conn.write(&message, written).await {
             log::debug!("server {} broke off before the request was written: {e}", start.server);
             // Broke before the last byte was handed over: it cannot have run.
             return Status::ConnectFailed.into();
         }
-        let Reply { head, bytes, body, keep, ended_by_close } = match conn.read().await {
+        let Response { head, bytes, body, reusable, close_delimited } = match conn.read_response().await {
             Ok(reply) => reply,
-            Err(Broken::Ended(e)) => {
+            Err(ExchangeError::Connection(e)) => {
                 log::debug!("server {} broke off: {e}", start.server);
                 pools.note_reset(start.server);
                 return Status::Reset.into();
@@ -138,7 +138,7 @@
                 return Status::Error.into();
             }
         };
-        if ended_by_close && head.status == 200 && !self.is_whole(start.server, began, &body) {
+        if close_delimited && head.status == 200 && !self.is_whole(start.server, began, &body) {
             log::debug!("server {}: an answer without a length may have been cut", start.server);
             return Status::Error.into();
         }
@@ -148,16 +148,16 @@
             503 | 504 if declined => Status::Full,
             _ => Status::Error,
         };
-        if keep {
+        if reusable {
             pools.give_back(start.server, conn);
         }
-        let served = (status == Status::Ok).then(|| {
+        let response = (status == Status::Ok).then(|| {
             let mut headers = Vec::new();
             head.copy_headers(&bytes, &PASSED_BACK, &mut headers);
-            Served { headers, body }
+            ServedResponse { headers, body }
         });
         let load = head.header(&bytes, "srv-load").map(load).unwrap_or_default();
-        End { status, served, load }
+        AttemptResult { status, response, load }
     }
 }
 
@@ -195,7 +195,7 @@
 }
 
 /// The bytes of an attempt: the client's request, with the time that is left.
-fn message(forward: &Forward, left: Micros) -> Vec<u8> {
+fn message(forward: &ForwardedRequest, left: Micros) -> Vec<u8> {
     let mut digits = itoa::Buffer::new();
     let mut message = Vec::with_capacity(forward.head.len() + forward.body.len() + 64);
     message.extend_from_slice(&forward.head);
--- a/limeway/src/upstream/servers.rs
+++ b/limeway/src/upstream/servers.rs
@@ -1,8 +1,8 @@
 //! Servers as discovery lists them, and pools of connections to them.
 
-use crate::discovery::catalog::{Health, List};
-use crate::network::connection::{Conn, IdleState};
-use crate::network::descriptors::{Descriptors, Held, Owner};
+use crate::discovery::catalog::{Health, ServerList};
+use crate::network::connection::{OutboundConnection, SocketState};
+use crate::network::descriptors::{CountGuard, DescriptorBudget, Owner};
 use crate::upstream::zones::Zones;
 use pondgw::{Entry, Lifecycle, ListKind, ServerId, Setup};
 use std::cell::RefCell;
@@ -31,15 +31,15 @@
     ready: bool,
     /// When an attempt there last ended as a reset.
     reset_at: Option<Instant>,
-    idle: Vec<Conn>,
+    idle: Vec<OutboundConnection>,
 }
 
 /// A connection for an attempt.
 pub enum Taken {
     /// One that stood idle.
-    Kept(Conn),
+    Kept(OutboundConnection),
     /// One may be opened to this address.
-    ToOpen(SocketAddr, Held),
+    ToOpen(SocketAddr, CountGuard),
 }
 
 /// The servers by number, with the connections to each.
@@ -49,7 +49,7 @@
     /// Numbers of servers that are gone and have nothing out, to be given again.
     free: RefCell<Vec<ServerId>>,
     zones: RefCell<Zones>,
-    descriptors: Rc<Descriptors>,
+    descriptors: Rc<DescriptorBudget>,
     keep: Duration,
     /// Time in which a connection has to come up.
     pub dial_timeout: Duration,
@@ -57,7 +57,7 @@
 
 impl Pools {
     /// Empty pools.
-    pub fn new(setup: &Setup, descriptors: Rc<Descriptors>) -> Self {
+    pub fn new(setup: &Setup, descriptors: Rc<DescriptorBudget>) -> Self {
         Pools {
             hosts: RefCell::default(),
             numbers: RefCell::default(),
@@ -71,7 +71,7 @@
 
     /// Takes in a list of servers and turns it into what the module reads. A server is known by its host, as
     /// its address may change; connections to an old address or to one that leaves are let go.
-    pub fn learn(&self, kind: ListKind, list: &List) -> Vec<Entry> {
+    pub fn update(&self, kind: ListKind, list: &ServerList) -> Vec<Entry> {
         let (mut hosts, mut numbers) = (self.hosts.borrow_mut(), self.numbers.borrow_mut());
         let mut zones = self.zones.borrow_mut();
         // Guards against growing with every new id. The module was told with an earlier list that these are gone,
@@ -146,30 +146,31 @@
         // Of those that have rested, the one used last is the least likely to be closing, and the others can
         // grow old and go.
         for at in (0..host.idle.len()).rev() {
-            if host.idle[at].idle() < REST {
+            if host.idle[at].idle_time() < REST {
                 continue;
             }
             let conn = host.idle.remove(at);
-            if conn.idle() < self.keep && conn.quiet() {
+            if conn.idle_time() < self.keep && conn.nothing_pending() {
                 return Some(Taken::Kept(conn));
             }
         }
         let address = host.address?;
         loop {
-            if let Some(held) = self.descriptors.try_hold(Owner::Servers) {
+            if let Some(held) = self.descriptors.try_acquire(Owner::Servers) {
                 return Some(Taken::ToOpen(address, held));
             }
-            let oldest = hosts.iter_mut().filter(|h| !h.idle.is_empty()).max_by_key(|h| h.idle[0].idle())?;
+            let oldest =
+                hosts.iter_mut().filter(|h| !h.idle.is_empty()).max_by_key(|h| h.idle[0].idle_time())?;
             oldest.idle.remove(0);
         }
     }
 
     /// Keeps a connection for the next attempt there.
-    pub fn give_back(&self, server: ServerId, mut conn: Conn) {
+    pub fn give_back(&self, server: ServerId, mut conn: OutboundConnection) {
         if let Some(host) =
-            self.hosts.borrow_mut().get_mut(server).filter(|h| h.ready && h.address == Some(conn.to))
+            self.hosts.borrow_mut().get_mut(server).filter(|h| h.ready && h.address == Some(conn.address))
         {
-            conn.rest();
+            conn.mark_idle();
             host.idle.push(conn);
         }
     }
@@ -206,16 +207,16 @@
     pub fn is_alive(&self, server: ServerId, since: Instant) -> bool {
         let hosts = self.hosts.borrow();
         let Some(host) = hosts.get(server).filter(|host| !host.gone) else { return false };
-        let states: Vec<IdleState> = host.idle.iter().map(Conn::idle_state).collect();
-        let reset = host.reset_at.is_some_and(|at| at >= since) || states.contains(&IdleState::Broken);
-        let all_ended = !states.is_empty() && states.iter().all(|state| *state == IdleState::Ended);
+        let states: Vec<SocketState> = host.idle.iter().map(OutboundConnection::socket_state).collect();
+        let reset = host.reset_at.is_some_and(|at| at >= since) || states.contains(&SocketState::Failed);
+        let all_ended = !states.is_empty() && states.iter().all(|state| *state == SocketState::PeerClosed);
         !reset && !all_ended
     }
 
     /// Lets go of connections that have stood idle too long or were closed from the other side.
     pub fn prune(&self) {
         for host in self.hosts.borrow_mut().iter_mut() {
-            host.idle.retain(|conn| conn.idle() < self.keep && conn.quiet());
+            host.idle.retain(|conn| conn.idle_time() < self.keep && conn.nothing_pending());
         }
     }
 }
--- a/limeway/tests/unit/client_connection.rs
+++ b/limeway/tests/unit/client_connection.rs
@@ -67,7 +67,7 @@
     let (mut peer, mut connection) = pair();
     let writer = std::thread::spawn(move || while peer.write_all(&[b'x'; 65_536]).is_ok() {});
     assert!(!look(&mut connection, usize::MAX));
-    assert!(connection.buffer.len() <= http::HEAD_MOST + http::BODY_MOST, "what is kept is bounded");
+    assert!(connection.buffer.len() <= http::MAX_HEAD + http::MAX_REQUEST_BODY, "what is kept is bounded");
     drop(connection);
     writer.join().expect("it is cut off");
 }
--- a/limeway/tests/unit/client_table.rs
+++ b/limeway/tests/unit/client_table.rs
@@ -5,7 +5,7 @@
 /// A connection in the table, as the listener and its task hold it.
 struct Open {
     place: Option<Place>,
-    _held: Held,
+    _held: CountGuard,
 }
 
 fn open(table: &Rc<ClientTable>, phase: Option<Phase>) -> Open {
@@ -13,7 +13,7 @@
 }
 
 fn table(total: usize) -> Rc<ClientTable> {
-    ClientTable::new(Descriptors::divide(total))
+    ClientTable::new(DescriptorBudget::divide(total))
 }
 
 fn told_to_go(all: &[Open]) -> usize {
--- a/limeway/tests/unit/descriptors.rs
+++ b/limeway/tests/unit/descriptors.rs
@@ -5,11 +5,11 @@
 const TOTALS: [usize; 10] = [64, 65, 80, 96, 128, 160, 512, 1_024, 4_096, 65_536];
 
 /// Opens connections for one owner until there are no more.
-fn open_all(descriptors: &Descriptors, owner: Owner) -> Vec<Held> {
-    std::iter::from_fn(|| descriptors.try_hold(owner)).collect()
+fn open_all(descriptors: &DescriptorBudget, owner: Owner) -> Vec<CountGuard> {
+    std::iter::from_fn(|| descriptors.try_acquire(owner)).collect()
 }
 
-fn open_in_all(descriptors: &Descriptors) -> usize {
+fn open_in_all(descriptors: &DescriptorBudget) -> usize {
     OWNERS.iter().map(|owner| descriptors.open(*owner)).sum()
 }
 
@@ -19,7 +19,7 @@
 fn whoever_comes_first_leaves_the_others_their_shares_at_every_size() {
     for total in TOTALS {
         for first in 0..OWNERS.len() {
-            let descriptors = Descriptors::divide(total);
+            let descriptors = DescriptorBudget::divide(total);
             let mut held = Vec::new();
             for turn in 0..OWNERS.len() {
                 let owner = OWNERS[(first + turn) % OWNERS.len()];
@@ -37,7 +37,7 @@
 #[test]
 fn clients_can_have_a_third_of_all_descriptors_whatever_the_others_hold() {
     for total in TOTALS {
-        let descriptors = Descriptors::divide(total);
+        let descriptors = DescriptorBudget::divide(total);
         let others: Vec<_> = OWNERS[1..].iter().flat_map(|owner| open_all(&descriptors, *owner)).collect();
         assert!(descriptors.limit(Owner::Clients) >= descriptors.requests(), "{total}");
         drop(others);
@@ -48,10 +48,10 @@
 /// Guards against connections that one owner has given back and another cannot use.
 #[test]
 fn what_one_owner_gives_back_another_can_take() {
-    let descriptors = Descriptors::divide(SOCKETS_LEAST);
+    let descriptors = DescriptorBudget::divide(MIN_SOCKETS);
     let mut clients = open_all(&descriptors, Owner::Clients);
     let servers = open_all(&descriptors, Owner::Servers);
-    assert!(descriptors.try_hold(Owner::Servers).is_none());
+    assert!(descriptors.try_acquire(Owner::Servers).is_none());
     clients.truncate(descriptors.requests());
     assert!(!open_all(&descriptors, Owner::Servers).is_empty());
     drop(servers);
