--- a/limeway/src/clients/client_connection.rs
+++ b/limeway/src/clients/client_connection.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::client_table::{ClientTable, Closing, Phase, Place};
 use crate::clients::request::{self, ClientMessage, Reject};
-use crate::core::{Answer, Core};
+use crate::core::{ClientResponse, Core};
 use crate::network::connection;
 use crate::network::http::{self, Body, Head};
 use crate::network::stream_io::{read_some, uninterrupted, write_whole};
@@ -320,7 +320,7 @@
             let close = self.ends(core, table, last);
             return self.reject(core, &Reject::TOO_LATE, close).await;
         }
-        let Some((id, mut answer)) = core.request(&name, demand, forward) else {
+        let Some((id, mut answer)) = core.submit(&name, demand, forward) else {
             self.strikes += 1;
             let close = self.ends(core, table, last);
             return self.reject(core, &Reject::ID_IN_USE, close).await;
@@ -328,13 +328,13 @@
         let answer = loop {
             tokio::select! {
                 biased;
-                answer = &mut answer => break answer.unwrap_or(Answer::Failed),
+                answer = &mut answer => break answer.unwrap_or(ClientResponse::Failed),
                 // The client's next request may come early; the end of its sending means that it has left. What
                 // is behind a full buffer is read all the same, or its leaving would stay unseen.
                 more = read_some(&mut self.stream, &mut self.buffer) => {
                     let left = !self.note_read(core, more);
                     if left || !self.cut_ahead() {
-                        let answer = core.gone(id);
+                        let answer = core.client_left(id);
                         return self.final_answer(core, answer, true).await;
                     }
                 },
@@ -344,12 +344,12 @@
         self.final_answer(core, answer, close).await
     }
 
-    async fn final_answer(&mut self, core: &Core, answer: Answer, close: bool) -> bool {
+    async fn final_answer(&mut self, core: &Core, answer: ClientResponse, close: bool) -> bool {
         match answer {
-            Answer::Served(served) => self.answer(200, &served.headers, close, &served.body).await,
-            Answer::Refused(wait) => self.answer(429, &retry_after(core, wait), close, b"").await,
-            Answer::Failed => self.answer(502, b"", close, b"").await,
-            Answer::Overdue => self.answer(504, b"", close, b"").await,
+            ClientResponse::Served(served) => self.answer(200, &served.headers, close, &served.body).await,
+            ClientResponse::Refused(wait) => self.answer(429, &retry_after(core, wait), close, b"").await,
+            ClientResponse::Failed => self.answer(502, b"", close, b"").await,
+            ClientResponse::DeadlineExceeded => self.answer(504, b"", close, b"").await,
         }
     }
 
--- a/limeway/src/core.rs
+++ b/limeway/src/core.rs
@@ -1,5 +1,7 @@
-//! The one `Gateway` with its events, actions, timers, and the table of open requests and attempts.
-//! Holds no policy: what the module asks for is carried out, within what the site permits.
+//! Runs the process's one [`Gateway`]: delivers events to it, performs the actions that it returns, keeps its
+//! timers, and tracks open requests and their attempts.
+//!
+//! There is no policy here. What the gateway asks for is done, within the permissions of the settings.
 
 use crate::clock::Clock;
 use crate::config::{Config, ServiceAddresses};
@@ -20,120 +22,130 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, Notify};
 
-/// Time before its deadline at which a request's attempts are ended: the module is done some 10 ms earlier,
-/// so this only guards against one that is silent or a process that was held up.
-const GUARD: Micros = 5_000;
-/// Time that the module then has for its final answer.
-const GUARD_WAIT: Micros = 2_000;
-
-/// After SIGTERM, what comes later than the first time must be answered by SIGKILL, which comes no sooner than the
-/// longest deadline, or the second time where that is longer, and the first time on top.
-const ENDING: (Micros, Micros) = (700_000, 3_000_000);
-/// Time before that at which such a request must be done, for its answer to be taken; and what it has at least.
-const ENDING_LEFT: Micros = 100_000;
-
-/// Timers beyond which, with four for each open request, those of requests that are over are dropped.
-const TIMERS_KEPT: usize = 1_024;
-
-/// A request's final answer.
+/// A request's attempts are stopped this long before its deadline. The gateway normally settles a request some 10 ms
+/// before its deadline, so this takes effect only if the gateway stays silent or the process was held up.
+const DEADLINE_MARGIN: Micros = 5_000;
+/// Time that the gateway then has for its final decision.
+const FINAL_DECISION_TIME: Micros = 2_000;
+
+/// A request that arrives within this time after SIGTERM keeps its full deadline; a later one must be answered before
+/// SIGKILL can come.
+const SHUTDOWN_FULL_DEADLINE: Micros = 700_000;
+/// SIGKILL comes no sooner after SIGTERM than `SHUTDOWN_FULL_DEADLINE` plus the longest deadline of any class, or plus
+/// this time if that is shorter.
+const SHUTDOWN_MAX_WAIT: Micros = 3_000_000;
+/// Such a late request must be finished this long before the earliest SIGKILL, so that the client can still read the
+/// response. It is also the least time that a late request gets.
+const SHUTDOWN_MARGIN: Micros = 100_000;
+
+/// Timers of finished requests are purged once there are more timers than this plus four for each open request.
+const TIMER_PURGE_THRESHOLD: usize = 1_024;
+
+/// The final response to a client's request.
 #[derive(Debug)]
-pub enum Answer {
-    /// A server's 200.
+pub enum ClientResponse {
+    /// 200 from a server.
     Served(ServedResponse),
-    /// Trying again is harmless; when to come back, 0 for no advice.
+    /// 429: sending the request again does no harm; the time for Retry-After, 0 for none.
     Refused(Micros),
-    /// Nothing is promised.
+    /// 502: nothing is said about whether the request has run.
     Failed,
-    /// The client's time is up and the module has said nothing.
-    Overdue,
+    /// 504: the deadline passed without a decision of the gateway.
+    DeadlineExceeded,
 }
 
 struct Attempt {
     server: ServerId,
     sent: Micros,
-    /// Ends the attempt with a status; nothing once it has been told to end.
+    /// Ends the attempt with a status; `None` once used, or if the attempt was never started.
     stop: Option<oneshot::Sender<Status>>,
-    /// Whether it should still be written.
+    /// Whether the request may still be written to the server.
     may_send: Rc<Cell<bool>>,
-    out: bool,
+    in_flight: bool,
 }
 
 impl Attempt {
-    /// Tells it to end; false if it has been told before or is over.
+    /// Ends the attempt with this status; false if it was ended before or is over.
     fn end(&mut self, status: Status) -> bool {
         self.may_send.set(false);
         self.stop.take().is_some_and(|stop| stop.send(status).is_ok())
     }
 }
 
-struct Open {
-    /// The id that the client gave it.
-    name: Rc<[u8]>,
-    /// Where the final answer goes; nothing once it has been given.
-    reply: Option<oneshot::Sender<Answer>>,
+/// A request that is not answered yet, or that still has an attempt in flight.
+struct OpenRequest {
+    /// The client's own id for the request (Req-Id).
+    client_id: Rc<[u8]>,
+    /// Takes the final response to the client's connection; `None` once it is sent.
+    responder: Option<oneshot::Sender<ClientResponse>>,
     request: Rc<ForwardedRequest>,
     deadline: Micros,
     attempts: Vec<Attempt>,
 }
 
-/// What is due at a time.
+/// What a timer is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Module(u64),
-    Attempt(RequestId, u32),
-    Guard(RequestId),
+enum TimerKind {
+    /// A timer of the gateway, with its token.
+    Gateway(u64),
+    /// The timeout of an attempt.
+    AttemptTimeout(RequestId, u32),
+    /// The deadline of a request, less `DEADLINE_MARGIN`.
+    Deadline(RequestId),
 }
 
 struct State {
     gateway: Gateway,
     events: VecDeque<Event>,
     actions: Vec<Action>,
-    open: HashMap<RequestId, Open>,
-    /// Clients' ids of requests that are not answered yet.
-    names: HashSet<Rc<[u8]>>,
+    open: HashMap<RequestId, OpenRequest>,
+    /// Client-supplied ids of the requests that are not answered yet.
+    client_ids: HashSet<Rc<[u8]>>,
     last_id: RequestId,
-    timers: BinaryHeap<Reverse<(Micros, Due)>>,
+    timers: BinaryHeap<Reverse<(Micros, TimerKind)>>,
 }
 
-/// What all tasks share.
+/// State shared by all tasks.
 pub struct Core {
-    /// What the program was told.
+    /// The configuration as read at start.
     pub config: Config,
-    /// The module's clock.
+    /// The gateway's clock.
     pub clock: Rc<Clock>,
-    /// Who may open connections.
+    /// Limits on open connections.
     pub descriptors: Rc<DescriptorBudget>,
-    /// How long what is read may have waited.
+    /// Upper bound on the time that input may have waited to be read.
     pub lag: Arc<LoopLag>,
     /// Connections to servers.
     pub pools: Rc<Pools>,
     attempt_runner: Rc<AttemptRunner>,
-    /// Connections to the counter.
+    /// Client of the counter, if there is one.
     pub counter: Option<Rc<counter::Counter>>,
-    /// The way to other limiters.
+    /// Socket for datagrams to other limiters, if the settings permit them.
     pub peers: Option<Rc<peers::Peers>>,
-    /// Where the parts that talk to the network report to.
+    /// Takes the events of attempts, counter calls and other limiters.
     pub sink: EventSink,
-    /// Where discovery and the counter are at present.
+    /// Current addresses of discovery and the counter.
     pub service_addresses: Cell<ServiceAddresses>,
-    /// Discovery has moved.
+    /// Notified when the address of discovery has changed.
     pub discovery_moved: Notify,
-    /// Discovery may be watched: at once where it pushes, else when the module asks.
+    /// Notified when the gateway asks to watch discovery: at start if discovery pushes changes, otherwise each time
+    /// that it is to be asked.
     pub watch_requested: Notify,
-    /// Clients may be sent here.
+    /// Whether the limiter is ready for clients.
     pub ready: Cell<bool>,
-    /// The process has been told to end.
+    /// Whether the process is shutting down.
     pub draining: Cell<bool>,
-    /// When that was.
-    ending_since: Cell<Micros>,
-    /// For what could be told with each request.
+    /// When the shutdown began; meaningful only while `draining`.
+    shutdown_started: Cell<Micros>,
+    /// Rate-limits warnings that could be logged with every request.
     pub log_limiter: Rc<LogLimiter>,
     state: RefCell<State>,
-    timer: Notify,
+    /// Notified when the earliest timer has changed.
+    timer_changed: Notify,
 }
 
 impl Core {
-    /// The core, with the servers that were known when it started.
+    /// Creates the core and gives the gateway the servers that the configuration lists.
     pub fn new(
         config: Config,
         peers: Option<Rc<peers::Peers>>,
@@ -144,18 +156,18 @@
             let core = core.clone();
             let sink: EventSink = Rc::new(move |event| {
                 if let Some(core) = core.upgrade() {
-                    core.on_network(event);
+                    core.on_network_event(event);
                 }
             });
             Self::with_sink(config, peers, descriptors, lag, sink)
         });
-        // Also where nothing is known: the module says when discovery is asked from then on.
-        let none = ServerList { seq: 0, whole: true, hosts: Vec::new(), invalid_rows: 0 };
-        core.update_servers(ListKind::Cached, core.config.known_servers.as_ref().unwrap_or(&none));
+        // An empty list is passed on too: with this event the gateway begins to schedule calls to discovery.
+        let empty = ServerList { seq: 0, whole: true, hosts: Vec::new(), invalid_rows: 0 };
+        core.update_servers(ListKind::Cached, core.config.known_servers.as_ref().unwrap_or(&empty));
         core
     }
 
-    /// The core, whose parts report to this sink.
+    /// Creates the core; its parts send their events to `sink`.
     fn with_sink(
         config: Config,
         peers: Option<Rc<peers::Peers>>,
@@ -187,60 +199,59 @@
             watch_requested: Notify::new(),
             ready: Cell::new(false),
             draining: Cell::new(false),
-            ending_since: Cell::new(0),
+            shutdown_started: Cell::new(0),
             log_limiter,
             state: RefCell::new(State {
                 gateway,
                 events: VecDeque::new(),
                 actions: Vec::new(),
                 open: HashMap::new(),
-                names: HashSet::new(),
+                client_ids: HashSet::new(),
                 last_id: 0,
                 timers: BinaryHeap::new(),
             }),
-            timer: Notify::new(),
+            timer_changed: Notify::new(),
             config,
         }
     }
 
-    /// The process has been told to end.
-    pub fn end(&self) {
+    /// Begins the shutdown.
+    pub fn begin_shutdown(&self) {
         self.draining.set(true);
-        self.ending_since.set(self.clock.now());
+        self.shutdown_started.set(self.clock.now());
     }
 
-    /// Time that a request may take which comes now: less than its client gives it where the process will be
-    /// killed before.
-    fn time_left(&self, left: Micros) -> Micros {
-        let passed = self.clock.now().saturating_sub(self.ending_since.get());
-        if !self.draining.get() || passed < ENDING.0 {
+    /// Time that a request arriving now may take, of the `left` that its client allows: less if SIGKILL could come
+    /// first.
+    fn limit_to_shutdown(&self, left: Micros) -> Micros {
+        let elapsed = self.clock.now().saturating_sub(self.shutdown_started.get());
+        if !self.draining.get() || elapsed < SHUTDOWN_FULL_DEADLINE {
             return left;
         }
-        let most = self.config.setup.longest.min(ENDING.1) + ENDING.0;
-        left.min(most.saturating_sub(passed + ENDING_LEFT).max(ENDING_LEFT))
+        let sigkill = self.config.setup.longest.min(SHUTDOWN_MAX_WAIT) + SHUTDOWN_FULL_DEADLINE;
+        left.min(sigkill.saturating_sub(elapsed + SHUTDOWN_MARGIN).max(SHUTDOWN_MARGIN))
     }
 
-    /// Goes over to other addresses of discovery and the counter.
-    pub fn set_service_addresses(&self, places: ServiceAddresses) {
-        let old = self.service_addresses.replace(places);
-        if let (Some(counter), Some(address)) = (&self.counter, places.counter) {
+    /// Switches to other addresses of discovery and the counter.
+    pub fn set_service_addresses(&self, addresses: ServiceAddresses) {
+        let old = self.service_addresses.replace(addresses);
+        if let (Some(counter), Some(address)) = (&self.counter, addresses.counter) {
             counter.set_address(address);
         }
-        if old.discovery != places.discovery {
+        if old.discovery != addresses.discovery {
             self.discovery_moved.notify_one();
         }
     }
 
-    /// Takes news of the servers: pools first, so that nothing more goes where it should not.
+    /// Applies a list of servers. The pools come first, so that no attempt starts at a server that was just removed.
     pub fn update_servers(self: &Rc<Self>, kind: ListKind, list: &ServerList) {
         let entries = self.pools.update(kind, list);
         self.handle_event(Event::Servers { kind, entries });
     }
 
-    /// Takes in what has happened on the network.
-    fn on_network(self: &Rc<Self>, event: NetworkEvent) {
+    fn on_network_event(self: &Rc<Self>, event: NetworkEvent) {
         match event {
-            NetworkEvent::AttemptEnded { id, number, result } => self.attempt_ended(id, number, result),
+            NetworkEvent::AttemptEnded { id, number, result } => self.on_attempt_ended(id, number, result),
             NetworkEvent::Counted { name, status, total, latency } => {
                 self.handle_event(Event::Counted { name, status, total, latency })
             }
@@ -248,34 +259,34 @@
         }
     }
 
-    /// Gives the module an event and carries out what it wants done before the next one.
+    /// Passes an event to the gateway and performs the resulting actions, before the next event is handled.
     pub fn handle_event(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         state.events.push_back(event);
-        self.run(&mut state);
+        self.process_events(&mut state);
     }
 
-    fn run(self: &Rc<Self>, state: &mut State) {
+    fn process_events(self: &Rc<Self>, state: &mut State) {
         while let Some(event) = state.events.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
             state.gateway.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.act(state, action);
+                self.perform(state, action);
             }
             state.actions = actions;
         }
     }
 
-    fn act(self: &Rc<Self>, state: &mut State, action: Action) {
+    fn perform(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
-            Action::Send { id, server, timeout } => self.send(state, id, server, timeout),
+            Action::Send { id, server, timeout } => self.start_attempt(state, id, server, timeout),
             Action::Cancel { id, attempt } => {
                 let attempt = state.open.get_mut(&id).and_then(|o| o.attempts.get_mut(attempt as usize));
                 attempt.map(|a| a.end(Status::Cancelled));
             }
-            Action::Refuse { id, retry_after } => state.answer(id, Answer::Refused(retry_after)),
-            Action::Fail { id } => state.answer(id, Answer::Failed),
-            Action::Timer { at, token } => self.set(state, at, Due::Module(token)),
+            Action::Refuse { id, retry_after } => state.respond(id, ClientResponse::Refused(retry_after)),
+            Action::Fail { id } => state.respond(id, ClientResponse::Failed),
+            Action::Timer { at, token } => self.set_timer(state, at, TimerKind::Gateway(token)),
             Action::Count { name, amount, ttl } => match &self.counter {
                 Some(counter) => counter.call(name, amount, ttl),
                 None => {
@@ -285,19 +296,19 @@
             },
             Action::Tell { peer, data } => {
                 if let Some(peers) = &self.peers {
-                    peers.tell(peer, &data);
+                    peers.send(peer, &data);
                 }
             }
             Action::Watch => self.watch_requested.notify_one(),
         }
     }
 
-    fn send(self: &Rc<Self>, state: &mut State, id: RequestId, server: ServerId, timeout: Micros) {
+    fn start_attempt(self: &Rc<Self>, state: &mut State, id: RequestId, server: ServerId, timeout: Micros) {
         let now = self.clock.now();
         let allow = &self.config.setup.settings.permissions;
-        let moot = |number: usize, closed: bool| {
+        let not_sent = |number: usize, closed: bool| {
             self.log_limiter.warn(format_args!(
-                "attempt {number} of request {id} is not sent: the request is over or the site forbids it"
+                "attempt {number} of request {id} not sent: the request is over or the permissions do not allow it"
             ));
             Event::Outcome(Outcome {
                 id,
@@ -310,22 +321,22 @@
             })
         };
         let Some(open) = state.open.get_mut(&id) else {
-            state.events.push_back(moot(0, true));
+            state.events.push_back(not_sent(0, true));
             return;
         };
         let number = open.attempts.len();
-        let over = open.reply.is_none() || now >= open.deadline;
-        let copies = !allow.second_copies && open.attempts.iter().any(|a| a.out);
-        if over || copies || number >= allow.max_attempts as usize {
-            let closed = open.reply.is_none();
+        let over = open.responder.is_none() || now >= open.deadline;
+        let forbidden_copy = !allow.second_copies && open.attempts.iter().any(|a| a.in_flight);
+        if over || forbidden_copy || number >= allow.max_attempts as usize {
+            let closed = open.responder.is_none();
             open.attempts.push(Attempt {
                 server,
                 sent: now,
                 stop: None,
                 may_send: Rc::default(),
-                out: false,
+                in_flight: false,
             });
-            state.events.push_back(moot(number, closed));
+            state.events.push_back(not_sent(number, closed));
             return;
         }
         let (stop, stopped) = oneshot::channel();
@@ -335,110 +346,117 @@
             sent: now,
             stop: Some(stop),
             may_send: may_send.clone(),
-            out: true,
+            in_flight: true,
         });
         let (request, number, request_deadline) = (open.request.clone(), number as u32, open.deadline);
         if timeout > 0 && now + timeout < request_deadline {
-            self.set(state, now + timeout, Due::Attempt(id, number));
+            self.set_timer(state, now + timeout, TimerKind::AttemptTimeout(id, number));
         }
         let deadline = if timeout > 0 { request_deadline.min(now + timeout) } else { request_deadline };
         self.attempt_runner.start(NewAttempt { id, number, server, request, deadline, may_send }, stopped);
     }
 
-    /// A client's request has come whole. Gives its number and where its answer will come; nothing where another
-    /// request of this id is open: nobody could tell their answers apart.
-    pub fn request(
+    /// Submits a client's request to the gateway. Returns its id here and the channel that its response comes on, or
+    /// `None` if a request with the same client-supplied id is open, as their responses could not be told apart.
+    pub fn submit(
         self: &Rc<Self>,
-        name: &[u8],
+        client_id: &[u8],
         mut demand: Demand,
-        forward: ForwardedRequest,
-    ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
-        let (reply, answer) = oneshot::channel();
+        forwarded: ForwardedRequest,
+    ) -> Option<(RequestId, oneshot::Receiver<ClientResponse>)> {
+        let (responder, response) = oneshot::channel();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        if state.names.contains(name) {
+        if state.client_ids.contains(client_id) {
             return None;
         }
-        let name: Rc<[u8]> = name.into();
-        state.names.insert(name.clone());
-        // Numbered here and not by the client's own id, which nobody can vouch for being new.
+        let client_id: Rc<[u8]> = client_id.into();
+        state.client_ids.insert(client_id.clone());
+        // The gateway needs ids that are never reused, which client-supplied ids are not guaranteed to be.
         state.last_id += 1;
         demand.id = state.last_id;
-        demand.left = self.time_left(demand.left);
+        demand.left = self.limit_to_shutdown(demand.left);
         let deadline = self.clock.now() + demand.left;
-        let open =
-            Open { name, reply: Some(reply), request: Rc::new(forward), deadline, attempts: Vec::new() };
+        let open = OpenRequest {
+            client_id,
+            responder: Some(responder),
+            request: Rc::new(forwarded),
+            deadline,
+            attempts: Vec::new(),
+        };
         state.open.insert(demand.id, open);
-        self.set(state, deadline.saturating_sub(GUARD), Due::Guard(demand.id));
+        self.set_timer(state, deadline.saturating_sub(DEADLINE_MARGIN), TimerKind::Deadline(demand.id));
         let id = demand.id;
         state.events.push_back(Event::Request(demand));
-        self.run(state);
-        Some((id, answer))
+        self.process_events(state);
+        Some((id, response))
     }
 
-    /// The client has ended its sending: nothing more is done for its request. Gives the final answer for a client that
-    /// still reads, which cannot be told from one that has gone.
-    pub fn gone(self: &Rc<Self>, id: RequestId) -> Answer {
+    /// Gives up a request whose client has closed its sending side. Returns the response to write: a client that has
+    /// left cannot be told from one that still reads.
+    pub fn client_left(self: &Rc<Self>, id: RequestId) -> ClientResponse {
         let mut state = self.state.borrow_mut();
         let never_sent = state.open.get(&id).is_some_and(|open| open.attempts.is_empty());
-        if state.take_reply(id).is_some() {
-            state.reap(id);
+        if state.take_responder(id).is_some() {
+            state.remove_if_done(id);
             state.events.push_back(Event::Gone { id });
-            self.run(&mut state);
+            self.process_events(&mut state);
         }
         if never_sent {
-            Answer::Refused(self.config.setup.settings.permissions.max_retry_after)
+            ClientResponse::Refused(self.config.setup.settings.permissions.max_retry_after)
         } else {
-            Answer::Failed
+            ClientResponse::Failed
         }
     }
 
-    /// An attempt has ended; its connection is closed or back in its pool.
-    fn attempt_ended(self: &Rc<Self>, id: RequestId, number: u32, result: AttemptResult) {
+    /// Handles the end of an attempt, whose connection is closed or back in its pool by now.
+    fn on_attempt_ended(self: &Rc<Self>, id: RequestId, number: u32, result: AttemptResult) {
         let AttemptResult { status, response, load } = result;
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         let Some(open) = state.open.get_mut(&id) else { return };
         let Some(attempt) = open.attempts.get_mut(number as usize) else { return };
-        attempt.out = false;
+        attempt.in_flight = false;
         attempt.stop = None;
         let (server, latency) = (attempt.server, self.clock.now().saturating_sub(attempt.sent));
-        log::debug!("request {id} attempt {number} at server {server}: {status:?} after {latency} us");
+        log::debug!(
+            "request {id}: attempt {number} at server {server} ended with {status:?} after {latency} us"
+        );
         if let Some(response) = response {
-            // The first good answer goes to the client; a later one finds the request closed.
-            if let Some(reply) = state.take_reply(id) {
-                let _ = reply.send(Answer::Served(response));
+            // Only the first successful response goes to the client; a later one is dropped.
+            if let Some(responder) = state.take_responder(id) {
+                let _ = responder.send(ClientResponse::Served(response));
             }
         }
-        let closed = state.open.get(&id).is_none_or(|o| o.reply.is_none());
-        state.reap(id);
+        let closed = state.open.get(&id).is_none_or(|o| o.responder.is_none());
+        state.remove_if_done(id);
         let outcome = Outcome { id, attempt: number, server, status, latency, closed, load };
         state.events.push_back(Event::Outcome(outcome));
-        self.run(state);
+        self.process_events(state);
     }
 
-    /// Requests that are not answered yet.
+    /// Number of requests that are not answered yet.
     pub fn unanswered(&self) -> usize {
-        self.state.borrow().open.values().filter(|o| o.reply.is_some()).count()
+        self.state.borrow().open.values().filter(|o| o.responder.is_some()).count()
     }
 
-    fn set(&self, state: &mut State, at: Micros, due: Due) {
-        // Timers of requests that are over would stay until their clients' time is up, which may be minutes.
-        if state.timers.len() > TIMERS_KEPT + 4 * state.open.len() {
+    fn set_timer(&self, state: &mut State, at: Micros, kind: TimerKind) {
+        // Without the purge, timers of finished requests would stay until the requests' deadlines, up to minutes away.
+        if state.timers.len() > TIMER_PURGE_THRESHOLD + 4 * state.open.len() {
             let open = &state.open;
-            state.timers.retain(|Reverse((_, due))| match due {
-                Due::Module(_) => true,
-                Due::Attempt(id, _) | Due::Guard(id) => open.contains_key(id),
+            state.timers.retain(|Reverse((_, kind))| match kind {
+                TimerKind::Gateway(_) => true,
+                TimerKind::AttemptTimeout(id, _) | TimerKind::Deadline(id) => open.contains_key(id),
             });
         }
-        let sooner = state.timers.peek().is_none_or(|Reverse((first, _))| at < *first);
-        state.timers.push(Reverse((at, due)));
-        if sooner {
-            self.timer.notify_one();
+        let earliest = state.timers.peek().is_none_or(|Reverse((first, _))| at < *first);
+        state.timers.push(Reverse((at, kind)));
+        if earliest {
+            self.timer_changed.notify_one();
         }
     }
 
-    /// Runs the one queue of timers, for ever.
+    /// Fires timers as they fall due; never returns.
     pub async fn run_timers(self: Rc<Self>) {
         let sleep = tokio::time::sleep(Duration::ZERO);
         tokio::pin!(sleep);
@@ -448,77 +466,80 @@
                 next.map_or_else(|| Instant::now() + Duration::from_secs(1), |at| self.clock.instant(at));
             sleep.as_mut().reset(at.into());
             tokio::select! {
-                () = &mut sleep => self.run_due(),
-                () = self.timer.notified() => {}
+                () = &mut sleep => self.fire_due_timers(),
+                () = self.timer_changed.notified() => {}
             }
         }
     }
 
-    fn run_due(self: &Rc<Self>) {
+    fn fire_due_timers(self: &Rc<Self>) {
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         let now = self.clock.now();
-        while let Some(&Reverse((at, due))) = state.timers.peek() {
+        while let Some(&Reverse((at, kind))) = state.timers.peek() {
             if at > now {
                 break;
             }
             state.timers.pop();
-            match due {
-                Due::Module(token) => {
+            match kind {
+                TimerKind::Gateway(token) => {
                     state.events.push_back(Event::Timer { token });
-                    self.run(state);
+                    self.process_events(state);
                 }
-                Due::Attempt(id, number) => {
+                TimerKind::AttemptTimeout(id, number) => {
                     let open = state.open.get_mut(&id);
                     let attempt = open.and_then(|o| o.attempts.get_mut(number as usize));
                     attempt.map(|a| a.end(Status::Timeout));
                 }
-                Due::Guard(id) => self.guard(state, id, now),
+                TimerKind::Deadline(id) => self.on_deadline(state, id, now),
             }
         }
     }
 
-    /// The client's time is nearly up: attempts time out, which gives the module its last word; if that does
-    /// not come either, the request fails here.
-    fn guard(self: &Rc<Self>, state: &mut State, id: RequestId, now: Micros) {
+    /// Handles a deadline that is about to pass. Attempts in flight time out first, which lets the gateway make its
+    /// final decision; if it makes none, the request fails here.
+    fn on_deadline(self: &Rc<Self>, state: &mut State, id: RequestId, now: Micros) {
         let Some(open) = state.open.get_mut(&id) else { return };
         let mut stopped = false;
         for attempt in &mut open.attempts {
             stopped |= attempt.end(Status::Timeout);
         }
-        if open.reply.is_none() {
+        if open.responder.is_none() {
             return;
         }
         if stopped {
-            return self.set(state, now + GUARD_WAIT, Due::Guard(id));
+            return self.set_timer(state, now + FINAL_DECISION_TIME, TimerKind::Deadline(id));
         }
-        self.log_limiter.warn(format_args!("request {id} ends at its deadline without the module's answer"));
-        state.answer(id, Answer::Overdue);
+        self.log_limiter.warn(format_args!(
+            "request {id}: deadline reached without a decision of the gateway; answering 504"
+        ));
+        state.respond(id, ClientResponse::DeadlineExceeded);
         state.events.push_back(Event::Gone { id });
-        self.run(state);
+        self.process_events(state);
     }
 }
 
 impl State {
-    fn answer(&mut self, id: RequestId, answer: Answer) {
-        if let Some(reply) = self.take_reply(id) {
-            let _ = reply.send(answer);
+    fn respond(&mut self, id: RequestId, response: ClientResponse) {
+        if let Some(responder) = self.take_responder(id) {
+            let _ = responder.send(response);
         }
-        self.reap(id);
+        self.remove_if_done(id);
     }
 
-    /// The way to the client, once; from then on the request's id is free.
-    fn take_reply(&mut self, id: RequestId) -> Option<oneshot::Sender<Answer>> {
+    /// Takes the channel for the request's response, which can be done once. Afterwards its client-supplied id may be
+    /// used again, and none of its attempts is written any more.
+    fn take_responder(&mut self, id: RequestId) -> Option<oneshot::Sender<ClientResponse>> {
         let open = self.open.get_mut(&id)?;
-        let reply = open.reply.take()?;
+        let responder = open.responder.take()?;
         open.attempts.iter().for_each(|attempt| attempt.may_send.set(false));
-        self.names.remove(&open.name);
-        Some(reply)
+        self.client_ids.remove(&open.client_id);
+        Some(responder)
     }
 
-    /// Forgets a request that is answered and has nothing out.
-    fn reap(&mut self, id: RequestId) {
-        let done = |o: &Open| o.reply.is_none() && o.attempts.iter().all(|a| !a.out);
+    /// Removes a request that is answered and has no attempt in flight.
+    fn remove_if_done(&mut self, id: RequestId) {
+        let done = |o: &OpenRequest| o.responder.is_none() && o.attempts.iter().all(|a| !a.in_flight);
         if self.open.get(&id).is_some_and(done) {
             self.open.remove(&id);
         }
--- a/limeway/src/main.rs
+++ b/limeway/src/main.rs
@@ -102,7 +102,7 @@
     spawn_local(heed(signals, core.clone(), end_requested.clone()));
     end_requested.notified().await;
     log::info!("ending: {} requests are open", core.unanswered());
-    core.end();
+    core.begin_shutdown();
     let ending_since = Instant::now();
     sleep(CLOSE_IDLE).await;
     table.close_idle(Closing::Used);
--- a/limeway/src/peers.rs
+++ b/limeway/src/peers.rs
@@ -23,7 +23,7 @@
     }
 
     /// Sends a message; one that cannot go at once is lost, as any may be.
-    pub fn tell(&self, peer: u32, data: &[u8]) {
+    pub fn send(&self, peer: u32, data: &[u8]) {
         if data.len() > DATAGRAM_MOST {
             log::warn!("message of {} bytes to limiter {peer} is too long to send", data.len());
             return;
