--- a/limeway/src/clients.rs
+++ b/limeway/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: the listener, their connections, and what they ask.
+//! The client side: listener, connections and requests.
 
 pub mod client_connection;
 pub mod client_table;
--- a/limeway/src/clients/client_connection.rs
+++ b/limeway/src/clients/client_connection.rs
@@ -1,11 +1,11 @@
-//! One client's connection: requests are read in turn, and each gets exactly one answer.
+//! A client's connection: requests are read one after the other, and each gets exactly one response.
 
-use crate::clients::client_table::{ClientTable, Closing, Phase, Place};
-use crate::clients::request::{self, ClientMessage, Reject};
+use crate::clients::client_table::{ClientTable, CloseIdle, EvictionSlot, Phase};
+use crate::clients::request::{self, ClientMessage, Rejection};
 use crate::core::{ClientResponse, Core};
 use crate::network::connection;
-use crate::network::http::{self, Body, Head};
-use crate::network::stream_io::{read_some, uninterrupted, write_whole};
+use crate::network::http::{self, BodyReader, Head};
+use crate::network::stream_io::{read_some, retry_interrupted, write_all};
 use crate::upstream::attempts::ForwardedRequest;
 use bytes::BytesMut;
 use pondgw::{Demand, Micros};
@@ -16,378 +16,401 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Time for which a connection may stand idle.
-const IDLE_MOST: Duration = Duration::from_secs(15);
-/// Time from the start of a connection for its first request to come whole, and from its first byte on for each
-/// later one: who says nothing, or never comes to an end, is told so or closed within 3 s.
-const MESSAGE_MOST: Duration = Duration::from_millis(2_200);
-/// The same once no new connection is accepted, as the process is about to end.
-const MESSAGE_MOST_AT_END: Duration = Duration::from_millis(300);
-/// Time for an answer to be taken.
-const ANSWER_MOST: Duration = Duration::from_secs(10);
-/// Time for which what is still on its way is read after the last answer, lest that be lost to a reset.
-const LINGER: Duration = Duration::from_millis(500);
-/// The same where nothing was asked and so no answer is on its way: many round trips within a site, and little
-/// enough for a descriptor that another client waits for.
-const LINGER_IDLE: Duration = Duration::from_millis(20);
-/// Pause after each request in a row on one connection that is not valid, and at most: who repeats itself at full
-/// speed must not take the thread from others.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(200));
-/// Bytes beyond its buffer that a client may send ahead of an answer before it is given up: one that asks in turn
-/// sends none, and reading on without end would take the thread from others.
-const CUT_MOST: usize = 1024 * 1024;
+/// An idle connection is closed after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time for a request to arrive completely: the first from the opening of the connection, each later one from its first
+/// byte. A client that sends nothing, or no end, is thus closed or told so within 3 s.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// The same once the listener is closed, as the process is about to exit.
+const REQUEST_TIMEOUT_AT_SHUTDOWN: Duration = Duration::from_millis(300);
+/// Time for the client to take a response.
+const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// After the last response, input is read for at most this time before the close: closing with unread input would
+/// reset the connection, and the response could be lost.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// The same if there was no request and so no response to lose: many round trips within a site, but short, as another
+/// client may be waiting for the descriptor.
+const SHORT_LINGER_TIMEOUT: Duration = Duration::from_millis(20);
+/// Pause after an invalid request, multiplied by the number of invalid requests in a row on the connection: a client
+/// that repeats them at full speed must not keep the thread from others.
+const INVALID_REQUEST_PAUSE: Duration = Duration::from_millis(5);
+/// Upper bound on that pause.
+const MAX_INVALID_REQUEST_PAUSE: Duration = Duration::from_millis(200);
+/// A client that sends more than this many bytes beyond what the buffer holds before it has its response is treated as
+/// gone: one that waits for responses sends none, and reading on without end would keep the thread from others.
+const MAX_DISCARDED: usize = 1024 * 1024;
 /// Largest buffer that an idle connection keeps, in bytes.
-const BUFFER_KEPT: usize = 4 * 1024;
-/// Longest request that is kept while another is open, in bytes.
-const REQUEST_MOST: usize = http::MAX_HEAD + http::MAX_REQUEST_BODY;
-/// When who is turned away for want of room may come again, in microseconds: by then connections have ended.
-const TRY_AGAIN: Micros = 1_000_000;
+const MAX_IDLE_BUFFER: usize = 4 * 1024;
+/// Most bytes that are buffered while a request is open: one request of the largest size.
+const MAX_REQUEST: usize = http::MAX_HEAD + http::MAX_REQUEST_BODY;
+/// Retry-After of a 503, in microseconds: by then, connections have closed.
+const RETRY_AFTER_OVERLOAD: Micros = 1_000_000;
 
 /// A client's connection.
-pub struct Connection {
+pub struct ClientConnection {
     stream: TcpStream,
     buffer: BytesMut,
     out: Vec<u8>,
-    since: Instant,
-    /// No request has come whole yet.
-    fresh: bool,
-    /// Its client has come back to it after an answer.
+    opened_at: Instant,
+    /// No request has been received completely yet.
+    awaits_first_request: bool,
+    /// The client has sent more after a response.
     reused: bool,
-    /// Beyond what may be held: it is told so.
-    turned_away: bool,
-    /// It has been told to go for others, and stands so among them to its end.
-    evicted: Option<Place>,
+    /// Accepted above the limit on connections: its request is answered 503.
+    over_limit: bool,
+    /// If evicted: the registration of that, kept until the connection is closed.
+    evicted: Option<EvictionSlot>,
     /// When bytes were last read.
-    read_at: Instant,
-    /// Bound on the time that those had waited to be read.
-    waited: Duration,
-    /// Requests in a row that were not valid.
-    strikes: u32,
-    /// Bytes behind the buffer that were thrown away: once it is used up, nothing more can be read.
-    cut: usize,
+    last_read: Instant,
+    /// Upper bound on the time that those bytes had waited to be read.
+    read_delay: Duration,
+    /// Invalid requests in a row.
+    invalid_requests: u32,
+    /// Bytes discarded because the buffer was full. As they are missing, nothing can be read once the buffer is used up.
+    discarded: usize,
 }
 
-/// A request as it was read: its head, the bytes of that, and its body.
+/// A request as received: its parsed head, the bytes of the head, and the body.
 type ReceivedRequest = (Head, BytesMut, Vec<u8>);
 
-impl Connection {
-    /// A connection that has just been accepted, after a wait of at most `waited`.
-    pub fn new(stream: TcpStream, waited: Duration, turned_away: bool) -> Self {
+impl ClientConnection {
+    /// Takes over a connection that has just been accepted, after it had waited for at most `waited`.
+    pub fn new(stream: TcpStream, waited: Duration, over_limit: bool) -> Self {
         let now = Instant::now();
-        Connection {
+        ClientConnection {
             stream,
             buffer: BytesMut::new(),
             out: Vec::new(),
-            since: now,
-            fresh: true,
+            opened_at: now,
+            awaits_first_request: true,
             reused: false,
-            turned_away,
+            over_limit,
             evicted: None,
-            read_at: now,
-            waited,
-            strikes: 0,
-            cut: 0,
+            last_read: now,
+            read_delay: waited,
+            invalid_requests: 0,
+            discarded: 0,
         }
     }
 
-    /// Serves the connection to its end.
+    /// Serves the connection until it is closed.
     pub async fn serve(mut self, core: &Rc<Core>, table: &Rc<ClientTable>) {
         let _ = self.stream.set_nodelay(true);
-        self.read_waiting();
+        self.read_available();
         loop {
-            let (head, bytes, body) = match self.read(core, table).await {
+            let (head, bytes, body) = match self.read_request(core, table).await {
                 Ok(Some(message)) => message,
-                Ok(None) => return self.finish(table, LINGER_IDLE).await,
-                Err(reject) => {
-                    self.reject(core, &reject, true).await;
-                    return self.finish(table, LINGER).await;
+                Ok(None) => return self.close(table, SHORT_LINGER_TIMEOUT).await,
+                Err(rejection) => {
+                    self.write_rejection(core, &rejection, true).await;
+                    return self.close(table, LINGER_TIMEOUT).await;
                 }
             };
-            self.fresh = false;
-            let last = !head.keep_alive || self.turned_away;
-            let asked = request::read(&core.config.setup, &head, &bytes, body);
-            self.strikes = if asked.is_err() { self.strikes + 1 } else { 0 };
-            let open = match asked {
-                Err(reject) => {
-                    let close = self.ends(core, table, last);
-                    self.reject(core, &reject, close).await
+            self.awaits_first_request = false;
+            let last = !head.keep_alive || self.over_limit;
+            let parsed = request::parse(&core.config.setup, &head, &bytes, body);
+            self.invalid_requests = if parsed.is_err() { self.invalid_requests + 1 } else { 0 };
+            let open = match parsed {
+                Err(rejection) => {
+                    let close = self.closes_after_response(core, table, last);
+                    self.write_rejection(core, &rejection, close).await
                 }
                 Ok(ClientMessage::Health) => self.answer_health(core, table, last).await,
-                // Too many connections: turned away before the module has heard of it.
-                Ok(ClientMessage::Demand(..)) if self.turned_away => {
-                    self.reject(core, &Reject::TOO_MANY, true).await
+                // Too many connections: rejected without the gateway.
+                Ok(ClientMessage::Request(..)) if self.over_limit => {
+                    self.write_rejection(core, &Rejection::TOO_MANY_CONNECTIONS, true).await
                 }
-                Ok(ClientMessage::Demand(id, demand, forward)) => {
-                    self.request(core, table, id, (demand, forward), last).await
+                Ok(ClientMessage::Request(client_id, demand, forwarded)) => {
+                    self.handle_request(core, table, client_id, (demand, forwarded), last).await
                 }
             };
             if !open {
-                return self.finish(table, if self.turned_away { LINGER_IDLE } else { LINGER }).await;
+                let linger = if self.over_limit { SHORT_LINGER_TIMEOUT } else { LINGER_TIMEOUT };
+                return self.close(table, linger).await;
             }
-            if self.strikes > 0 {
-                sleep((PAUSE.0 * self.strikes).min(PAUSE.1)).await;
+            if self.invalid_requests > 0 {
+                let pause = INVALID_REQUEST_PAUSE * self.invalid_requests;
+                sleep(pause.min(MAX_INVALID_REQUEST_PAUSE)).await;
             }
         }
     }
 
     async fn answer_health(&mut self, core: &Core, table: &ClientTable, last: bool) -> bool {
-        let close = self.ends(core, table, last);
+        let close = self.closes_after_response(core, table, last);
         if core.ready.get() && !core.draining.get() {
-            self.answer(200, b"", close, b"ready\n").await
+            self.write_response(200, b"", close, b"ready\n").await
         } else {
-            self.answer(503, b"", close, b"not ready\n").await
+            self.write_response(503, b"", close, b"not ready\n").await
         }
     }
 
-    /// Answers that a request gets no further, and when it may come again where that would help.
-    async fn reject(&mut self, core: &Core, reject: &Reject, close: bool) -> bool {
-        let header = if reject.status == 503 { retry_after(core, TRY_AGAIN) } else { Vec::new() };
-        self.answer(reject.status, &header, close, reject.reason.as_bytes()).await
+    /// Answers a request that does not reach the gateway, with Retry-After if a retry may succeed. True if the
+    /// connection stays open.
+    async fn write_rejection(&mut self, core: &Core, rejection: &Rejection, close: bool) -> bool {
+        let header =
+            if rejection.status == 503 { retry_after_header(core, RETRY_AFTER_OVERLOAD) } else { Vec::new() };
+        self.write_response(rejection.status, &header, close, rejection.body.as_bytes()).await
     }
 
-    /// Reads a whole request; nothing where the client leaves, or the connection stands idle and must go.
-    async fn read(
+    /// Reads a complete request; `None` if the client has left, or the connection is idle and has to close.
+    async fn read_request(
         &mut self,
         core: &Core,
         table: &Rc<ClientTable>,
-    ) -> Result<Option<ReceivedRequest>, Reject> {
-        if self.buffer.is_empty() && (self.cut > 0 || !self.first_bytes(core, table).await) {
+    ) -> Result<Option<ReceivedRequest>, Rejection> {
+        if self.buffer.is_empty() && (self.discarded > 0 || !self.wait_for_request(core, table).await) {
             return Ok(None);
         }
-        let most = if table.closing() == Closing::All { MESSAGE_MOST_AT_END } else { MESSAGE_MOST };
-        let left = if self.fresh { most.saturating_sub(self.since.elapsed()) } else { most };
-        let place = Place::take(table, Phase::Partial);
+        let limit = if table.idle_to_close() == CloseIdle::All {
+            REQUEST_TIMEOUT_AT_SHUTDOWN
+        } else {
+            REQUEST_TIMEOUT
+        };
+        let left =
+            if self.awaits_first_request { limit.saturating_sub(self.opened_at.elapsed()) } else { limit };
+        let slot = EvictionSlot::register(table, Phase::PartialRequest);
         let received = tokio::select! {
             biased;
             received = timeout(left, self.read_message(core)) => received,
-            () = place.evicted() => {
-                Ok(Err(if core.draining.get() { Reject::ENDING } else { Reject::TOO_MANY }))
+            () = slot.evicted() => {
+                let shutdown = core.draining.get();
+                Ok(Err(if shutdown { Rejection::SHUTTING_DOWN } else { Rejection::TOO_MANY_CONNECTIONS }))
             }
         };
-        if place.is_evicted() && !matches!(received, Ok(Ok(Some(_)))) {
-            self.evicted = Some(place);
+        if slot.is_evicted() && !matches!(received, Ok(Ok(Some(_)))) {
+            self.evicted = Some(slot);
         }
-        received.unwrap_or(Err(Reject { status: 408, reason: "the request did not come whole in time\n" }))
+        received.unwrap_or(Err(Rejection::REQUEST_TIMEOUT))
     }
 
-    /// Waits for the first bytes of a request; false where none will be read any more.
-    async fn first_bytes(&mut self, core: &Core, table: &Rc<ClientTable>) -> bool {
+    /// Waits for the first bytes of a request; false if the connection has to close without one.
+    async fn wait_for_request(&mut self, core: &Core, table: &Rc<ClientTable>) -> bool {
         self.release_buffers();
-        let phase = match (self.fresh, self.reused) {
-            (true, _) => Phase::Silent,
-            (false, false) => Phase::AskedOnce,
+        let phase = match (self.awaits_first_request, self.reused) {
+            (true, _) => Phase::New,
+            (false, false) => Phase::AnsweredOnce,
             (false, true) => Phase::Reused,
         };
-        let place = Place::take(table, phase);
-        let idle = if self.fresh { MESSAGE_MOST.saturating_sub(self.since.elapsed()) } else { IDLE_MOST };
-        let idle = sleep(idle);
-        tokio::pin!(idle);
-        let go = if self.fresh { Closing::All } else { Closing::Used };
+        let slot = EvictionSlot::register(table, phase);
+        let idle_timeout = if self.awaits_first_request {
+            REQUEST_TIMEOUT.saturating_sub(self.opened_at.elapsed())
+        } else {
+            IDLE_TIMEOUT
+        };
+        let idle_timeout = sleep(idle_timeout);
+        tokio::pin!(idle_timeout);
+        let closed_from = if self.awaits_first_request { CloseIdle::All } else { CloseIdle::Used };
         loop {
-            let closing = table.closing() >= go;
+            let closing = table.idle_to_close() >= closed_from;
             tokio::select! {
                 biased;
-                read = read_some(&mut self.stream, &mut self.buffer) => return self.note_first(core, read),
-                () = table.close.notified(), if !closing => continue,
-                () = place.evicted() => {}
-                () = &mut idle => {}
+                read = read_some(&mut self.stream, &mut self.buffer) => return self.on_first_read(core, read),
+                () = table.idle_to_close_changed.notified(), if !closing => continue,
+                () = slot.evicted() => {}
+                () = &mut idle_timeout => {}
                 () = std::future::ready(()), if closing => {}
             }
-            // To be closed, unless a request is on its way: that one would be lost.
+            // The connection is to be closed, unless a request has just arrived: closing would lose it.
             if connection::nothing_pending(&self.stream) {
-                self.evicted = place.is_evicted().then_some(place);
+                self.evicted = slot.is_evicted().then_some(slot);
                 return false;
             }
             let read = read_some(&mut self.stream, &mut self.buffer).await;
-            return self.note_first(core, read);
+            return self.on_first_read(core, read);
         }
     }
 
-    /// Lets buffers go that have grown, while nothing needs them.
+    /// Frees buffers that have grown; for an idle connection.
     fn release_buffers(&mut self) {
-        if self.buffer.capacity() > BUFFER_KEPT {
+        if self.buffer.capacity() > MAX_IDLE_BUFFER {
             self.buffer = BytesMut::new();
         }
-        if self.out.capacity() > BUFFER_KEPT {
+        if self.out.capacity() > MAX_IDLE_BUFFER {
             self.out = Vec::new();
         }
     }
 
-    /// Notes the first bytes of a request; false at the end of the connection.
-    fn note_first(&mut self, core: &Core, read: io::Result<usize>) -> bool {
-        self.reused = !self.fresh;
-        self.note_read(core, read)
+    /// Records the first read of a request; false at the end of the input.
+    fn on_first_read(&mut self, core: &Core, read: io::Result<usize>) -> bool {
+        self.reused = !self.awaits_first_request;
+        self.on_read(core, read)
     }
 
-    /// Notes when bytes were read; false at the end of the connection.
-    fn note_read(&mut self, core: &Core, read: io::Result<usize>) -> bool {
-        let came = matches!(read, Ok(1..));
-        if came {
-            (self.read_at, self.waited) = (Instant::now(), core.lag.bound());
+    /// Records the time of a read; false at the end of the input or after an error.
+    fn on_read(&mut self, core: &Core, read: io::Result<usize>) -> bool {
+        let received = matches!(read, Ok(1..));
+        if received {
+            (self.last_read, self.read_delay) = (Instant::now(), core.lag.max_wait());
         }
-        came
+        received
     }
 
-    async fn read_message(&mut self, core: &Core) -> Result<Option<ReceivedRequest>, Reject> {
+    async fn read_message(&mut self, core: &Core) -> Result<Option<ReceivedRequest>, Rejection> {
         let head = loop {
-            match http::request(&self.buffer)? {
+            match http::parse_request_head(&self.buffer)? {
                 Some(head) => break head,
-                None if !self.more(core).await => return Ok(None),
+                None if !self.read_more(core).await => return Ok(None),
                 None => {}
             }
         };
         let bytes = self.buffer.split_to(head.len);
-        let mut body = Body::new(head.framing, http::MAX_REQUEST_BODY);
-        while !body.take(&mut self.buffer)? {
-            if !self.more(core).await {
+        let mut body = BodyReader::new(head.framing, http::MAX_REQUEST_BODY);
+        while !body.consume(&mut self.buffer)? {
+            if !self.read_more(core).await {
                 return Ok(None);
             }
         }
         Ok(Some((head, bytes, body.bytes)))
     }
 
-    /// Whether the connection ends with its answer, as this is its last one, the limiter is ending or there are too
-    /// many; for the latter two not where more has come: a request behind this one is taken already.
-    fn ends(&self, core: &Core, table: &ClientTable, last: bool) -> bool {
-        let due = core.draining.get() || (table.crowded() && !self.reused);
-        last || due && self.buffer.is_empty() && connection::nothing_pending(&self.stream)
+    /// Whether the connection closes after the response: because this was its last request, the process is shutting
+    /// down or there are too many connections. In the latter two cases it stays open if more input has arrived, as
+    /// another request behind this one counts as accepted.
+    fn closes_after_response(&self, core: &Core, table: &ClientTable, last: bool) -> bool {
+        let unwanted = core.draining.get() || (table.is_above_keep_alive() && !self.reused);
+        last || unwanted && self.buffer.is_empty() && connection::nothing_pending(&self.stream)
     }
 
-    async fn more(&mut self, core: &Core) -> bool {
-        if self.cut > 0 {
+    async fn read_more(&mut self, core: &Core) -> bool {
+        if self.discarded > 0 {
             return false;
         }
         let read = read_some(&mut self.stream, &mut self.buffer).await;
-        self.note_read(core, read)
+        self.on_read(core, read)
     }
 
-    /// Reads what is there already, up to the length of a request: it has waited with the connection. Its end is seen
-    /// when it is read on.
-    fn read_waiting(&mut self) {
-        while self.buffer.len() < REQUEST_MOST && matches!(self.read_ready(self.waited), Ok(1..)) {}
+    /// Reads what has already arrived, up to the size of a request: it has waited for as long as the connection has.
+    /// An end of the input is left for a later read to report.
+    fn read_available(&mut self) {
+        while self.buffer.len() < MAX_REQUEST && matches!(self.read_nonblocking(self.read_delay), Ok(1..)) {}
     }
 
-    /// Takes in what has come on the connection, after a wait of at most `waited`. Asks the system itself: what the
-    /// runtime knows of the socket may be a turn old, and a client that wrote and left shows its end only behind what
-    /// it wrote. False where it has left, or sends so far ahead that it is given up.
-    fn take_in(&mut self, waited: Duration) -> bool {
+    /// Reads all input that has arrived, after a wait of at most `waited`. Asks the kernel directly: the runtime's view
+    /// of the socket may be outdated by an iteration of its loop, and the end of input of a client that wrote and left
+    /// shows only after all that it wrote. False if the client has left
+    /// or has sent too much ahead.
+    fn drain_socket(&mut self, waited: Duration) -> bool {
         loop {
-            match self.read_ready(waited) {
+            match self.read_nonblocking(waited) {
                 Ok(0) => return false,
-                Ok(_) if !self.cut_ahead() => return false,
+                Ok(_) if !self.discard_excess() => return false,
                 Ok(_) => {}
                 Err(e) => return e.kind() == ErrorKind::WouldBlock,
             }
         }
     }
 
-    /// Reads a part of what is there, by the system itself.
-    fn read_ready(&mut self, waited: Duration) -> io::Result<usize> {
-        let mut part = [0; BUFFER_KEPT];
-        let read = uninterrupted(|| (&*socket2::SockRef::from(&self.stream)).read(&mut part))?;
+    /// Reads some input without waiting and without the runtime.
+    fn read_nonblocking(&mut self, waited: Duration) -> io::Result<usize> {
+        let mut part = [0; MAX_IDLE_BUFFER];
+        let read = retry_interrupted(|| (&*socket2::SockRef::from(&self.stream)).read(&mut part))?;
         if read > 0 {
-            (self.read_at, self.waited) = (Instant::now(), waited);
+            (self.last_read, self.read_delay) = (Instant::now(), waited);
             self.buffer.extend_from_slice(&part[..read]);
         }
         Ok(read)
     }
 
-    /// Keeps what one request can take of what a client sends ahead, and counts the rest. False where that is too
-    /// much.
-    fn cut_ahead(&mut self) -> bool {
-        self.cut += self.buffer.len().saturating_sub(REQUEST_MOST);
-        self.buffer.truncate(REQUEST_MOST);
-        self.cut <= CUT_MOST
+    /// Keeps as much of the input as one request can need, and discards and counts the rest. False if that is too much.
+    fn discard_excess(&mut self) -> bool {
+        self.discarded += self.buffer.len().saturating_sub(MAX_REQUEST);
+        self.buffer.truncate(MAX_REQUEST);
+        self.discarded <= MAX_DISCARDED
     }
 
-    /// Takes a request to the module and its answer to the client. True if the connection stays open.
-    async fn request(
+    /// Submits a request to the gateway and writes the response. True if the connection stays open.
+    async fn handle_request(
         &mut self,
         core: &Rc<Core>,
         table: &ClientTable,
-        name: Vec<u8>,
-        (mut demand, forward): (Demand, ForwardedRequest),
+        client_id: Vec<u8>,
+        (mut demand, forwarded): (Demand, ForwardedRequest),
         last: bool,
     ) -> bool {
-        // The client counts its time from when it sent the request.
-        let waited = (self.read_at.elapsed() + self.waited).as_micros() as Micros;
-        // One that waited to be accepted, or behind others on its connection, may have lost its client meanwhile.
-        if !self.take_in(core.lag.bound()) {
-            return self.reject(core, &Reject::CLIENT_LEFT, true).await;
+        // The client's deadline counts from when it sent the request.
+        let waited = (self.last_read.elapsed() + self.read_delay).as_micros() as Micros;
+        // While the request waited to be accepted, or behind others on its connection, the client may have left.
+        if !self.drain_socket(core.lag.max_wait()) {
+            return self.write_rejection(core, &Rejection::CLIENT_LEFT, true).await;
         }
         demand.left = demand.left.saturating_sub(waited);
         if demand.left == 0 {
-            let close = self.ends(core, table, last);
-            return self.reject(core, &Reject::TOO_LATE, close).await;
+            let close = self.closes_after_response(core, table, last);
+            return self.write_rejection(core, &Rejection::DEADLINE_PASSED, close).await;
         }
-        let Some((id, mut answer)) = core.submit(&name, demand, forward) else {
-            self.strikes += 1;
-            let close = self.ends(core, table, last);
-            return self.reject(core, &Reject::ID_IN_USE, close).await;
+        let Some((id, mut response)) = core.submit(&client_id, demand, forwarded) else {
+            self.invalid_requests += 1;
+            let close = self.closes_after_response(core, table, last);
+            return self.write_rejection(core, &Rejection::ID_IN_USE, close).await;
         };
-        let answer = loop {
+        let response = loop {
             tokio::select! {
                 biased;
-                answer = &mut answer => break answer.unwrap_or(ClientResponse::Failed),
-                // The client's next request may come early; the end of its sending means that it has left. What
-                // is behind a full buffer is read all the same, or its leaving would stay unseen.
-                more = read_some(&mut self.stream, &mut self.buffer) => {
-                    let left = !self.note_read(core, more);
-                    if left || !self.cut_ahead() {
-                        let answer = core.client_left(id);
-                        return self.final_answer(core, answer, true).await;
+                response = &mut response => break response.unwrap_or(ClientResponse::Failed),
+                // The client may send its next request early; the end of its input means that it has left. Input is
+                // read even if the buffer is full, as that end could not be seen otherwise.
+                read = read_some(&mut self.stream, &mut self.buffer) => {
+                    let left = !self.on_read(core, read);
+                    if left || !self.discard_excess() {
+                        let response = core.client_left(id);
+                        return self.write_client_response(core, response, true).await;
                     }
                 },
             }
         };
-        let close = self.ends(core, table, last);
-        self.final_answer(core, answer, close).await
+        let close = self.closes_after_response(core, table, last);
+        self.write_client_response(core, response, close).await
     }
 
-    async fn final_answer(&mut self, core: &Core, answer: ClientResponse, close: bool) -> bool {
-        match answer {
-            ClientResponse::Served(served) => self.answer(200, &served.headers, close, &served.body).await,
-            ClientResponse::Refused(wait) => self.answer(429, &retry_after(core, wait), close, b"").await,
-            ClientResponse::Failed => self.answer(502, b"", close, b"").await,
-            ClientResponse::DeadlineExceeded => self.answer(504, b"", close, b"").await,
+    async fn write_client_response(&mut self, core: &Core, response: ClientResponse, close: bool) -> bool {
+        match response {
+            ClientResponse::Served(response) => {
+                self.write_response(200, &response.headers, close, &response.body).await
+            }
+            ClientResponse::Refused(wait) => {
+                self.write_response(429, &retry_after_header(core, wait), close, b"").await
+            }
+            ClientResponse::Failed => self.write_response(502, b"", close, b"").await,
+            ClientResponse::DeadlineExceeded => self.write_response(504, b"", close, b"").await,
         }
     }
 
-    /// Writes an answer in one piece. True if the connection stays open.
-    async fn answer(&mut self, status: u16, headers: &[u8], close: bool, body: &[u8]) -> bool {
+    /// Writes a response in one piece. True if the connection stays open.
+    async fn write_response(&mut self, status: u16, headers: &[u8], close: bool, body: &[u8]) -> bool {
         self.out.clear();
-        http::write_answer(&mut self.out, status, headers, close, body);
-        let written = timeout(ANSWER_MOST, write_whole(&mut self.stream, &self.out)).await;
+        http::write_response(&mut self.out, status, headers, close, body);
+        let written = timeout(RESPONSE_WRITE_TIMEOUT, write_all(&mut self.stream, &self.out)).await;
         matches!(written, Ok(Ok(()))) && !close
     }
 
-    /// Ends the connection: sending first, then reading for a bounded time, as a close over bytes that are unread
-    /// resets it. What is read now is thrown away: the end of sending has told the client that nothing was taken.
-    async fn finish(&mut self, table: &Rc<ClientTable>, most: Duration) {
+    /// Closes the connection: first the sending side, then, after input was read for a bounded time, the rest, as a
+    /// close with unread input resets the connection. That input is discarded: the end of the sending side has told
+    /// the client that no more requests are accepted.
+    async fn close(&mut self, table: &Rc<ClientTable>, linger: Duration) {
         let _ = self.stream.shutdown().await;
-        let (place, most) = match self.evicted.take() {
-            Some(evicted) => (evicted, LINGER_IDLE),
-            None => (Place::take(table, Phase::Ending), most),
+        let (slot, linger) = match self.evicted.take() {
+            Some(evicted) => (evicted, SHORT_LINGER_TIMEOUT),
+            None => (EvictionSlot::register(table, Phase::Closing), linger),
         };
-        let rest = async {
-            let mut read = 0;
-            while read < 4 * http::MAX_REQUEST_BODY {
+        let discard = async {
+            let mut total = 0;
+            while total < 4 * http::MAX_REQUEST_BODY {
                 self.buffer.clear();
                 match read_some(&mut self.stream, &mut self.buffer).await {
-                    Ok(n @ 1..) => read += n,
+                    Ok(n @ 1..) => total += n,
                     _ => return,
                 }
             }
         };
         tokio::select! {
-            _ = timeout(most, rest) => {}
-            () = place.evicted(), if !place.is_evicted() => {}
+            _ = timeout(linger, discard) => {}
+            () = slot.evicted(), if !slot.is_evicted() => {}
         }
     }
 }
 
-/// The header that tells a client when to come again, where the site lets it be told; nothing for no advice.
-fn retry_after(core: &Core, wait: Micros) -> Vec<u8> {
+/// The Retry-After header, if the permissions allow it; empty if there is no wait to state.
+fn retry_after_header(core: &Core, wait: Micros) -> Vec<u8> {
     let allow = &core.config.setup.settings.permissions;
     let wait = wait.min(allow.max_retry_after);
     let mut header = Vec::new();
--- a/limeway/src/clients/client_table.rs
+++ b/limeway/src/clients/client_table.rs
@@ -1,10 +1,11 @@
-//! The open connections of clients: how many there may be, and which of them go to make room for others.
+//! The open client connections: how many there may be, and which of them are closed to make room for others.
 //!
-//! Three marks divide the number that [`DescriptorBudget`] allows. Beyond the first, a connection ends with the answer to
-//! its first request. Beyond the second, connections without a request are told to go, as many at a time as lead
-//! back to the first: ahead of need, as each takes a moment to go. Beyond the third, a new connection is turned away
-//! with an answer if no other can go for it; between the third and the limit there is room for those answers. So
-//! connections are accepted at once, and none waits in the system's queue for another to go.
+//! Three thresholds divide the number of connections that [`DescriptorBudget`] allows. Above the first, a connection is
+//! closed after the response to its first request. Above the second, connections without a request are evicted until
+//! the first threshold is reached again; this begins before the room is needed, as each takes a moment to close. From
+//! the third on, a new connection is rejected with a response if no other can be evicted for it; the room between the
+//! third threshold and the limit is for these responses. So connections are accepted at once, and none waits in the
+//! listen queue for another to close.
 
 use crate::network::descriptors::{CountGuard, DescriptorBudget, Owner};
 use std::cell::{Cell, RefCell};
@@ -13,243 +14,252 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Part of the limit at which the first mark lies at most; the rest is room.
-const KEPT_PART: (usize, usize) = (2, 3);
-/// Part of that room at which the second mark lies.
-const EVICT_PART: usize = 4;
-/// Part of the limit that is kept for turning connections away, with its bounds: such a connection takes as long
-/// as its request needs to come whole.
-const TURNED_AWAY_PART: usize = 8;
-/// Bounds on that part.
-const TURNED_AWAY: (usize, usize) = (2, 8);
-/// Time for which a connection is left alone in any case: many round trips within a site, so that what is on its
-/// way has come.
-const ROOM_AFTER: Duration = Duration::from_millis(20);
-/// Time for which one that has asked is left alone unless there is no other room (page of the days of service).
-const IDLE_ROOM_AFTER: Duration = Duration::from_secs(2);
+/// Upper bound on the first threshold, as a fraction of the limit; the rest is room for new connections.
+const KEEP_ALIVE_FRACTION: (usize, usize) = (2, 3);
+/// The second threshold lies this fraction (one in so many) of the way from the first to the third.
+const EVICT_DIVISOR: usize = 4;
+/// One in so many of the allowed connections is reserved for rejecting new ones, within the two bounds below: a
+/// rejected connection stays open until its request has been received.
+const REJECT_DIVISOR: usize = 8;
+/// Least number of connections reserved for rejecting.
+const MIN_REJECT_RESERVE: usize = 2;
+/// Largest number of connections reserved for rejecting.
+const MAX_REJECT_RESERVE: usize = 8;
+/// A connection is not evicted within this time of entering its phase: many round trips within a site, so that data
+/// already on its way has arrived.
+const MIN_EVICTION_AGE: Duration = Duration::from_millis(20);
+/// The same for a connection that has carried a request, unless there is no other room. The service specification
+/// sets this time.
+const MIN_KEEP_ALIVE_AGE: Duration = Duration::from_secs(2);
 
 /// Which idle connections are closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Closing {
+pub enum CloseIdle {
     /// None.
     None,
-    /// Those that have carried a request; the first request of another may be on its way.
+    /// Those that have carried a request; the first request on any other may be on its way.
     Used,
     /// All.
     All,
 }
 
-/// What a connection without a whole request does.
+/// State of a connection that has no complete request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Nothing has come on it yet.
-    Silent,
-    /// One request has been answered on it.
-    AskedOnce,
-    /// Its client has come back to it after an answer.
+    /// No bytes have been received yet.
+    New,
+    /// One request has been answered, and no byte of another received.
+    AnsweredOnce,
+    /// More than one request has been received, and all are answered.
     Reused,
-    /// A part of a request has come.
-    Partial,
-    /// It has had its last answer, and what is still on its way is read.
-    Ending,
+    /// Part of a request has been received.
+    PartialRequest,
+    /// The last response is sent, and remaining input is read before the close.
+    Closing,
 }
 
 /// Number of phases.
 const PHASES: usize = 5;
 
-/// Who may go once connections are many: the oldest of all these.
-const IDLE: [(Phase, Duration); 4] = [
-    (Phase::Ending, ROOM_AFTER),
-    (Phase::Silent, ROOM_AFTER),
-    (Phase::AskedOnce, IDLE_ROOM_AFTER),
-    (Phase::Reused, IDLE_ROOM_AFTER),
+/// Which connections are evicted above the second threshold, by phase and least time in it; of all these, the oldest
+/// goes first.
+const EVICTED_EARLY: [(Phase, Duration); 4] = [
+    (Phase::Closing, MIN_EVICTION_AGE),
+    (Phase::New, MIN_EVICTION_AGE),
+    (Phase::AnsweredOnce, MIN_KEEP_ALIVE_AGE),
+    (Phase::Reused, MIN_KEEP_ALIVE_AGE),
+];
+/// Which others are evicted, in this order, before a new connection is rejected.
+const EVICTED_LATE: [(Phase, Duration); 3] = [
+    (Phase::AnsweredOnce, MIN_EVICTION_AGE),
+    (Phase::Reused, MIN_EVICTION_AGE),
+    (Phase::PartialRequest, MIN_EVICTION_AGE),
 ];
-/// Who goes besides, in this order, before a new connection is turned away.
-const LAST_RESORT: [(Phase, Duration); 3] =
-    [(Phase::AskedOnce, ROOM_AFTER), (Phase::Reused, ROOM_AFTER), (Phase::Partial, ROOM_AFTER)];
 
-/// A connection that can be told to go, and since when it stands as it does.
-struct Waiting {
+/// A connection that can be evicted.
+struct Candidate {
+    /// When it entered its phase.
     since: Instant,
-    go: Rc<Notify>,
+    /// Tells its task that it is evicted.
+    evict: Rc<Notify>,
 }
 
-/// Numbers of connections at which something changes.
+/// Numbers of open connections at which their treatment changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Marks {
-    /// Beyond this a connection ends with its first answer.
-    kept: usize,
-    /// Beyond this connections are told to go.
+struct Thresholds {
+    /// Above this, a connection is closed after its first response.
+    keep_alive: usize,
+    /// Above this, connections are evicted.
     evict: usize,
-    /// From this on new ones are turned away.
-    admitted: usize,
-    /// From this on none is accepted.
+    /// From this on, new connections are rejected.
+    reject: usize,
+    /// From this on, no connection is accepted.
     limit: usize,
 }
 
-impl Marks {
+impl Thresholds {
     fn new(limit: usize, requests: usize) -> Self {
-        let turned_away = (limit / TURNED_AWAY_PART).clamp(TURNED_AWAY.0, TURNED_AWAY.1);
-        let admitted = limit.saturating_sub(turned_away).max(1);
-        let kept = requests.min(limit * KEPT_PART.0 / KEPT_PART.1).min(admitted);
-        Marks { kept, evict: kept + (admitted - kept) / EVICT_PART, admitted, limit }
+        let reserve = (limit / REJECT_DIVISOR).clamp(MIN_REJECT_RESERVE, MAX_REJECT_RESERVE);
+        let reject = limit.saturating_sub(reserve).max(1);
+        let keep_alive = requests.min(limit * KEEP_ALIVE_FRACTION.0 / KEEP_ALIVE_FRACTION.1).min(reject);
+        Thresholds { keep_alive, evict: keep_alive + (reject - keep_alive) / EVICT_DIVISOR, reject, limit }
     }
 }
 
-/// The connections of clients.
+/// The open client connections.
 pub struct ClientTable {
     descriptors: Rc<DescriptorBudget>,
-    /// Connections that can be told to go, by phase, the oldest first.
-    waiting: [RefCell<BTreeMap<u64, Waiting>>; PHASES],
+    /// Connections that can be evicted, by phase; keys ascend with age, the oldest first.
+    candidates: [RefCell<BTreeMap<u64, Candidate>>; PHASES],
     next_key: Cell<u64>,
-    /// Connections that were told to go and are still open.
-    leaving: Cell<usize>,
-    /// A connection has ended.
-    pub ended: Notify,
-    closing: Cell<Closing>,
-    /// Which idle connections must go has changed.
-    pub close: Notify,
-    /// When the last connection was accepted.
-    accepted: Cell<Option<Instant>>,
+    /// Number of connections that are evicted but still open.
+    evicted: Cell<usize>,
+    /// Notified when a connection has closed.
+    pub closed: Notify,
+    idle_to_close: Cell<CloseIdle>,
+    /// Notified when `idle_to_close` has changed.
+    pub idle_to_close_changed: Notify,
+    last_accept: Cell<Option<Instant>>,
 }
 
 impl ClientTable {
-    /// No connections yet.
+    /// Creates an empty table.
     pub fn new(descriptors: Rc<DescriptorBudget>) -> Rc<Self> {
         Rc::new(ClientTable {
             descriptors,
-            waiting: Default::default(),
+            candidates: Default::default(),
             next_key: Cell::new(0),
-            leaving: Cell::new(0),
-            ended: Notify::new(),
-            closing: Cell::new(Closing::None),
-            close: Notify::new(),
-            accepted: Cell::new(None),
+            evicted: Cell::new(0),
+            closed: Notify::new(),
+            idle_to_close: Cell::new(CloseIdle::None),
+            idle_to_close_changed: Notify::new(),
+            last_accept: Cell::new(None),
         })
     }
 
-    fn marks(&self) -> Marks {
-        Marks::new(self.descriptors.limit(Owner::Clients), self.descriptors.requests())
+    fn thresholds(&self) -> Thresholds {
+        Thresholds::new(self.descriptors.limit(Owner::Clients), self.descriptors.max_client_requests())
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn open(&self) -> usize {
         self.descriptors.open(Owner::Clients)
     }
 
-    /// Connections that are open and have not been told to go.
-    fn staying(&self) -> usize {
-        self.open().saturating_sub(self.leaving.get())
+    /// Number of open connections that are not evicted.
+    fn remaining(&self) -> usize {
+        self.open().saturating_sub(self.evicted.get())
     }
 
     /// Counts a connection that has just been accepted.
     pub fn accept(&self) -> CountGuard {
-        self.accepted.set(Some(Instant::now()));
+        self.last_accept.set(Some(Instant::now()));
         self.descriptors.acquire(Owner::Clients)
     }
 
     /// Time since a connection was last accepted.
-    pub fn quiet_for(&self) -> Duration {
-        self.accepted.get().map_or(Duration::MAX, |at| at.elapsed())
+    pub fn time_since_accept(&self) -> Duration {
+        self.last_accept.get().map_or(Duration::MAX, |at| at.elapsed())
     }
 
-    /// Whether there are more than clients need for their requests: the others wait to be accepted behind those
-    /// that have asked and stay.
-    pub fn crowded(&self) -> bool {
-        self.open() > self.marks().kept
+    /// Whether there are more connections than clients need for their requests. Keep-alive would then make new
+    /// connections wait behind those that have had a response.
+    pub fn is_above_keep_alive(&self) -> bool {
+        self.open() > self.thresholds().keep_alive
     }
 
     /// Whether no connection can be accepted.
     pub fn is_full(&self) -> bool {
-        self.open() >= self.marks().limit
+        self.open() >= self.thresholds().limit
     }
 
-    /// Whether a new connection has to be turned away.
-    pub fn turns_away(&self) -> bool {
-        self.staying() >= self.marks().admitted
+    /// Whether a new connection has to be rejected.
+    pub fn rejects_new(&self) -> bool {
+        self.remaining() >= self.thresholds().reject
     }
 
-    /// Which idle connections must go.
-    pub fn closing(&self) -> Closing {
-        self.closing.get()
+    /// Which idle connections are to close.
+    pub fn idle_to_close(&self) -> CloseIdle {
+        self.idle_to_close.get()
     }
 
-    /// Closes connections once they are idle.
-    pub fn close_idle(&self, which: Closing) {
-        self.closing.set(which);
-        self.close.notify_waiters();
+    /// Closes connections that are idle, now or later.
+    pub fn close_idle(&self, which: CloseIdle) {
+        self.idle_to_close.set(which);
+        self.idle_to_close_changed.notify_waiters();
     }
 
-    /// Tells all connections to go on which a part of a request has come: they get an answer that says so.
-    pub fn turn_away_partial(&self) {
-        while self.evict_oldest(&[(Phase::Partial, Duration::ZERO)]) {}
+    /// Evicts all connections with a partial request; each gets a response with the reason.
+    pub fn evict_partial_requests(&self) {
+        while self.evict_oldest(&[(Phase::PartialRequest, Duration::ZERO)]) {}
     }
 
-    /// Whether a part of a request has come on any connection.
-    pub fn is_receiving(&self) -> bool {
-        !self.waiting[Phase::Partial as usize].borrow().is_empty()
+    /// Whether any connection has a partial request.
+    pub fn has_partial_requests(&self) -> bool {
+        !self.candidates[Phase::PartialRequest as usize].borrow().is_empty()
     }
 
-    /// Tells connections to go, as far as there are too many.
+    /// Evicts connections if there are too many.
     pub fn make_room(&self) {
-        let marks = self.marks();
-        if self.staying() > marks.evict {
-            while self.staying() > marks.kept && self.evict_oldest(&IDLE) {}
+        let thresholds = self.thresholds();
+        if self.remaining() > thresholds.evict {
+            while self.remaining() > thresholds.keep_alive && self.evict_oldest(&EVICTED_EARLY) {}
         }
-        for candidate in LAST_RESORT {
-            while self.staying() >= marks.admitted && self.evict_oldest(&[candidate]) {}
+        for phase in EVICTED_LATE {
+            while self.remaining() >= thresholds.reject && self.evict_oldest(&[phase]) {}
         }
     }
 
-    /// Tells the oldest connection to go of those that have been in one of these phases for long enough.
-    fn evict_oldest(&self, candidates: &[(Phase, Duration)]) -> bool {
-        let ripe = candidates.iter().filter_map(|(phase, least)| {
-            let waiting = self.waiting[*phase as usize].borrow();
-            let (key, first) = waiting.first_key_value()?;
-            (first.since.elapsed() >= *least).then_some((*key, *phase))
+    /// Evicts the oldest connection of those that have been in one of these phases for at least the time given with
+    /// it; false if there is none.
+    fn evict_oldest(&self, phases: &[(Phase, Duration)]) -> bool {
+        let eligible = phases.iter().filter_map(|(phase, min_age)| {
+            let candidates = self.candidates[*phase as usize].borrow();
+            let (key, first) = candidates.first_key_value()?;
+            (first.since.elapsed() >= *min_age).then_some((*key, *phase))
         });
-        let Some((key, phase)) = ripe.min() else { return false };
-        let Some(oldest) = self.waiting[phase as usize].borrow_mut().remove(&key) else { return false };
-        self.leaving.set(self.leaving.get() + 1);
-        oldest.go.notify_one();
+        let Some((key, phase)) = eligible.min() else { return false };
+        let Some(oldest) = self.candidates[phase as usize].borrow_mut().remove(&key) else { return false };
+        self.evicted.set(self.evicted.get() + 1);
+        oldest.evict.notify_one();
         true
     }
 }
 
-/// A place among the connections that can be told to go, left when dropped.
-pub struct Place {
+/// A connection's registration as a candidate for eviction, withdrawn on drop.
+pub struct EvictionSlot {
     table: Rc<ClientTable>,
     phase: Phase,
     key: u64,
-    go: Rc<Notify>,
+    evict: Rc<Notify>,
 }
 
-impl Place {
-    /// Takes the place of the newest.
-    pub fn take(table: &Rc<ClientTable>, phase: Phase) -> Self {
-        let (key, go) = (table.next_key.get(), Rc::new(Notify::new()));
+impl EvictionSlot {
+    /// Registers a connection as the newest candidate of its phase.
+    pub fn register(table: &Rc<ClientTable>, phase: Phase) -> Self {
+        let (key, evict) = (table.next_key.get(), Rc::new(Notify::new()));
         table.next_key.set(key + 1);
-        let waiting = Waiting { since: Instant::now(), go: go.clone() };
-        table.waiting[phase as usize].borrow_mut().insert(key, waiting);
-        Place { table: table.clone(), phase, key, go }
+        let candidate = Candidate { since: Instant::now(), evict: evict.clone() };
+        table.candidates[phase as usize].borrow_mut().insert(key, candidate);
+        EvictionSlot { table: table.clone(), phase, key, evict }
     }
 
-    /// Waits until the connection is told to go.
+    /// Waits until the connection is evicted.
     pub async fn evicted(&self) {
-        self.go.notified().await;
+        self.evict.notified().await;
     }
 
-    /// Whether the connection has been told to go.
+    /// Whether the connection is evicted.
     pub fn is_evicted(&self) -> bool {
-        !self.table.waiting[self.phase as usize].borrow().contains_key(&self.key)
+        !self.table.candidates[self.phase as usize].borrow().contains_key(&self.key)
     }
 }
 
-impl Drop for Place {
+impl Drop for EvictionSlot {
     fn drop(&mut self) {
-        let waiting = self.table.waiting[self.phase as usize].borrow_mut().remove(&self.key);
-        if waiting.is_none() {
-            self.table.leaving.set(self.table.leaving.get().saturating_sub(1));
+        let candidate = self.table.candidates[self.phase as usize].borrow_mut().remove(&self.key);
+        if candidate.is_none() {
+            self.table.evicted.set(self.table.evicted.get().saturating_sub(1));
         }
     }
 }
--- a/limeway/src/clients/listener.rs
+++ b/limeway/src/clients/listener.rs
@@ -1,6 +1,6 @@
-//! The listener: connections are accepted, and each is served by a task of its own.
+//! The listener: accepts client connections and serves each in a task of its own.
 
-use crate::clients::client_connection::Connection;
+use crate::clients::client_connection::ClientConnection;
 use crate::clients::client_table::ClientTable;
 use crate::core::Core;
 use std::future::poll_fn;
@@ -12,34 +12,34 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-/// Longest wait for another look when no connection can be accepted, and when accepting has failed.
-const ACCEPT_WAIT: Duration = Duration::from_millis(20);
-/// Connections waiting to be accepted.
-const BACKLOG: u32 = 1_024;
+/// Wait before the next try after a failed accept; also the longest wait when no connection may be accepted.
+const ACCEPT_RETRY_WAIT: Duration = Duration::from_millis(20);
+/// Length of the system's queue of connections that wait to be accepted.
+const LISTEN_QUEUE: u32 = 1_024;
 
-/// Listens at an address.
+/// Opens the listening socket.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_QUEUE)
 }
 
 /// Accepts connections until `stop` is notified, then closes the listener.
 pub async fn run(core: Rc<Core>, table: Rc<ClientTable>, listener: TcpListener, stop: Rc<Notify>) {
     // Since when connections may have been waiting because none could be accepted.
-    let mut held_up: Option<Instant> = None;
+    let mut delayed_since: Option<Instant> = None;
     loop {
         table.make_room();
         if table.is_full() {
-            held_up.get_or_insert_with(Instant::now);
-            let _ = timeout(ACCEPT_WAIT, table.ended.notified()).await;
+            delayed_since.get_or_insert_with(Instant::now);
+            let _ = timeout(ACCEPT_RETRY_WAIT, table.closed.notified()).await;
             continue;
         }
         let accept = poll_fn(|context| {
             let polled = listener.poll_accept(context);
             if polled.is_pending() {
-                held_up = None;
+                delayed_since = None;
             }
             polled
         });
@@ -50,32 +50,33 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let waited = core.lag.bound().max(held_up.map_or(Duration::ZERO, |since| since.elapsed()));
-                let turned_away = table.turns_away();
+                let delay = delayed_since.map_or(Duration::ZERO, |since| since.elapsed());
+                let waited = core.lag.max_wait().max(delay);
+                let over_limit = table.rejects_new();
                 let held = table.accept();
                 let (core, table) = (core.clone(), table.clone());
                 tokio::task::spawn_local(async move {
-                    Connection::new(stream, waited, turned_away).serve(&core, &table).await;
+                    ClientConnection::new(stream, waited, over_limit).serve(&core, &table).await;
                     drop(held);
-                    table.ended.notify_waiters();
+                    table.closed.notify_waiters();
                 });
             }
             Err(e) => {
-                core.log_limiter.warn(format_args!("accepting: {e}"));
+                core.log_limiter.warn(format_args!("cannot accept a client connection: {e}"));
                 if concerns_one_connection(&e) {
                     continue;
                 }
-                // Out of descriptors or memory: idle ones go, and trying again at once would only spin.
-                held_up.get_or_insert_with(Instant::now);
+                // Out of descriptors or memory: idle connections are closed, and a pause avoids a busy loop.
+                delayed_since.get_or_insert_with(Instant::now);
                 core.pools.prune();
-                sleep(ACCEPT_WAIT).await;
+                sleep(ACCEPT_RETRY_WAIT).await;
             }
         }
     }
 }
 
-/// Errors of accepting that are those of the connection that was to be accepted, by accept(2): it was aborted, a rule of
-/// the firewall forbids it, a signal came, or its network has an error pending.
+/// Errors of accept(2) that concern only the connection to be accepted: it was aborted, a firewall rule forbids it, or
+/// an error was pending on its network. EINTR, for a signal, is handled like these.
 const CONNECTION_ERRORS: [i32; 12] = [
     libc::ECONNABORTED,
     libc::EPROTO,
@@ -91,7 +92,7 @@
     libc::ENETUNREACH,
 ];
 
-/// Whether an error of accepting is that of one connection, so that the next in the queue can be accepted at once.
+/// Whether an accept error concerns only one connection, so that the next in the queue can be accepted at once.
 fn concerns_one_connection(error: &io::Error) -> bool {
     error.raw_os_error().is_some_and(|code| CONNECTION_ERRORS.contains(&code))
 }
--- a/limeway/src/config.rs
+++ b/limeway/src/config.rs
@@ -1,4 +1,4 @@
-//! The JSON configuration and the environment, checked; each error names its key.
+//! The configuration, from a JSON file and the environment. Each error names the key that it concerns.
 
 use crate::discovery::catalog::ServerList;
 use crate::network::descriptors::MIN_SOCKETS;
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Why the configuration cannot be used.
+/// An error in the configuration.
 #[derive(Debug)]
 pub struct ConfigError {
     key: String,
@@ -16,7 +16,7 @@
 
 impl ConfigError {
     fn new(key: &str, reason: impl fmt::Display) -> Self {
-        // One plain line, whatever the library's message holds.
+        // A library's message may span several lines; an error is always one line.
         ConfigError { key: key.to_owned(), reason: reason.to_string().replace('\n', " ") }
     }
 }
@@ -29,9 +29,9 @@
 
 impl std::error::Error for ConfigError {}
 
-/// The file as it stands.
+/// Contents of the configuration file.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
@@ -59,55 +59,55 @@
     }
 }
 
-/// What may change while the program runs.
+/// Addresses of services, which may change while the program runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServiceAddresses {
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where the counter answers, if there is one.
+    /// Address of the counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// What the file says of discovery, where the environment went before it.
-    file: Option<SocketAddr>,
+    /// Address of discovery in the file, which the environment may have overridden.
+    discovery_in_file: Option<SocketAddr>,
 }
 
 impl ServiceAddresses {
-    /// Reads the whole configuration again. The environment cannot change while the program runs, so what the
-    /// file newly says of discovery goes before it; what it said already does not.
+    /// Reads the configuration again. An address of discovery that has changed in the file overrides the environment,
+    /// which cannot change while the program runs; an unchanged one does not.
     pub fn reload(self, env: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        let read = Config::load(env)?.service_addresses;
-        let discovery = match read.file {
-            Some(file) if read.file != self.file => file,
+        let new = Config::load(env)?.service_addresses;
+        let discovery = match new.discovery_in_file {
+            Some(address) if new.discovery_in_file != self.discovery_in_file => address,
             _ => self.discovery,
         };
-        Ok(ServiceAddresses { discovery, ..read })
+        Ok(ServiceAddresses { discovery, ..new })
     }
 }
 
-/// What the program is told, ready for use.
+/// The parsed and validated configuration.
 pub struct Config {
     /// Name of this limiter.
     pub name: String,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery and the counter answer.
+    /// Addresses of discovery and the counter.
     pub service_addresses: ServiceAddresses,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// DescriptorBudget that the process may hold.
+    /// Number of descriptors that the process may have open.
     pub sockets: usize,
-    /// Memory that it may take, in megabytes.
+    /// Memory that the process may use, in megabytes.
     pub memory_mb: f64,
-    /// Where messages of other limiters arrive, and the address of each limiter.
+    /// Own address for datagrams between limiters, and the address of each limiter; only if the settings permit them.
     pub peers: Option<(SocketAddr, Vec<SocketAddr>)>,
-    /// The servers as last known.
+    /// Servers to start with, until discovery answers.
     pub known_servers: Option<ServerList>,
     /// The settings object.
     pub setup: Setup,
 }
 
-fn address(key: &str, text: Option<&str>) -> Result<SocketAddr, ConfigError> {
+fn parse_address(key: &str, text: Option<&str>) -> Result<SocketAddr, ConfigError> {
     let text = text.ok_or_else(|| ConfigError::new(key, "is missing"))?;
-    text.parse().map_err(|_| ConfigError::new(key, format!("is no address and port: {text}")))
+    text.parse().map_err(|_| ConfigError::new(key, format!("is not an address and port: {text}")))
 }
 
 impl Config {
@@ -119,41 +119,44 @@
         Self::parse(&text, env)
     }
 
-    /// Reads the text of the file; what the environment says goes before it.
+    /// Parses the text of the file. Environment variables override it.
     fn parse(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        let file: File = serde_json::from_str(text).map_err(|e| ConfigError::new("ROUTER_CONFIG", e))?;
-        let named = |variable: &str, key: &str, value: &Option<String>| match env(variable) {
-            Some(text) => address(variable, Some(&text)),
-            None => address(key, value.as_deref()),
+        let file: ConfigFile =
+            serde_json::from_str(text).map_err(|e| ConfigError::new("ROUTER_CONFIG", e))?;
+        let env_or_file = |variable: &str, key: &str, value: &Option<String>| match env(variable) {
+            Some(text) => parse_address(variable, Some(&text)),
+            None => parse_address(key, value.as_deref()),
         };
-        let listen = named("ROUTER_LISTEN", "listen", &file.listen)?;
-        let discovery = named("ROUTER_DISCOVERY", "discovery", &file.discovery)?;
-        let in_file = file.discovery.as_deref().map(|text| address("discovery", Some(text))).transpose()?;
+        let listen = env_or_file("ROUTER_LISTEN", "listen", &file.listen)?;
+        let discovery = env_or_file("ROUTER_DISCOVERY", "discovery", &file.discovery)?;
+        let discovery_in_file =
+            file.discovery.as_deref().map(|text| parse_address("discovery", Some(text))).transpose()?;
         let seed = file.seed.ok_or_else(|| ConfigError::new("seed", "is missing"))?;
         let seed = u64::from_str_radix(&seed, 16)
-            .map_err(|_| ConfigError::new("seed", "is no hexadecimal number"))?;
+            .map_err(|_| ConfigError::new("seed", "is not a hexadecimal number"))?;
         if file.limits.sockets < MIN_SOCKETS {
             return Err(ConfigError::new("limits.sockets", format!("is below {MIN_SOCKETS}")));
         }
         let settings = file.settings.ok_or_else(|| ConfigError::new("settings", "is missing"))?;
         let setup =
             Setup::read(&settings).map_err(|e| ConfigError::new(&format!("settings.{}", e.key), e.reason))?;
-        check(&setup)?;
+        validate(&setup)?;
         let peers = if setup.settings.permissions.peers {
-            let listen = address("peer_listen", file.peer_listen.as_deref())?;
-            let peers: Result<Vec<_>, _> = file.peers.iter().map(|p| address("peers", Some(p))).collect();
+            let listen = parse_address("peer_listen", file.peer_listen.as_deref())?;
+            let peers: Result<Vec<_>, _> =
+                file.peers.iter().map(|p| parse_address("peers", Some(p))).collect();
             Some((listen, peers?))
         } else {
             None
         };
         let counter = match setup.settings.counter {
-            Some(_) => Some(address("counter", file.counter.as_deref())?),
+            Some(_) => Some(parse_address("counter", file.counter.as_deref())?),
             None => None,
         };
         Ok(Config {
             name: env("ROUTER_NAME").or(file.name).unwrap_or_default(),
             listen,
-            service_addresses: ServiceAddresses { discovery, counter, file: in_file },
+            service_addresses: ServiceAddresses { discovery, counter, discovery_in_file },
             seed,
             sockets: file.limits.sockets,
             memory_mb: file.limits.memory_mb,
@@ -164,33 +167,33 @@
     }
 }
 
-/// What the adapter may leave open but a limiter cannot work without.
-fn check(setup: &Setup) -> Result<(), ConfigError> {
+/// Checks for settings that the adapter may omit but a limiter needs.
+fn validate(setup: &Setup) -> Result<(), ConfigError> {
     let settings = &setup.settings;
-    let bad = |key: &str, reason: &str| Err(ConfigError::new(key, reason));
+    let error = |key: &str, reason: &str| Err(ConfigError::new(key, reason));
     if settings.classes.is_empty() || setup.classes.iter().any(String::is_empty) {
-        return bad("settings.profiles", "is missing, empty or has a class without a name");
+        return error("settings.profiles", "is missing, empty or has a class without a name");
     }
     if settings.plans.is_empty() || setup.plans.iter().any(String::is_empty) {
-        return bad("settings.plans", "is missing, empty or has a plan without a name");
+        return error("settings.plans", "is missing, empty or has a plan without a name");
     }
     if settings.me >= settings.gateways {
-        return bad("settings.me", "is not below settings.balancers");
+        return error("settings.me", "is not below settings.balancers");
     }
     if settings.permissions.max_attempts == 0 {
-        return bad("settings.permissions.max-attempts", "is missing or nought");
+        return error("settings.permissions.max-attempts", "is missing or zero");
     }
     if setup.dial_timeout == 0 {
-        return bad("settings.permissions.dial-timeout", "is missing or nought");
+        return error("settings.permissions.dial-timeout", "is missing or zero");
     }
     if setup.keepalive == 0 {
-        return bad("settings.permissions.keepalive", "is missing or nought");
+        return error("settings.permissions.keepalive", "is missing or zero");
     }
     if settings.max_units <= 0.0 {
-        return bad("settings.family-info.max-units", "is missing or nought");
+        return error("settings.family-info.max-units", "is missing or zero");
     }
     if settings.counter.as_ref().is_some_and(|c| c.limit == 0) {
-        return bad("settings.family-info.count-limit", "is missing or nought");
+        return error("settings.family-info.count-limit", "is missing or zero");
     }
     Ok(())
 }
--- a/limeway/src/counter.rs
+++ b/limeway/src/counter.rs
@@ -1,4 +1,4 @@
-//! Calls to the counter.
+//! Client of the counter service.
 
 use crate::network::connection::{ExchangeError, OutboundConnection, Response};
 use crate::network::descriptors::{self, CountGuard, DescriptorBudget, Owner};
@@ -11,43 +11,44 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
-/// Time for which an idle connection is kept: the counter closes one after some 10 s or less, and a call that
-/// crosses this may or may not have been added.
-const IDLE_MOST: Duration = Duration::from_secs(3);
+/// An idle connection is kept for this time. The counter closes one after some 10 s or less, and if a call is sent just
+/// then, it is unknown whether its amount was added.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(3);
 
-/// The counter: one call at a time on a connection, so that a call that is given up takes no other with it.
+/// Calls the counter. A connection carries one call at a time, so that giving up a call affects no other.
 pub struct Counter {
     address: Cell<SocketAddr>,
-    limit: Duration,
+    call_timeout: Duration,
     descriptors: Rc<DescriptorBudget>,
     sink: EventSink,
     idle: RefCell<Vec<CounterConnection>>,
-    /// Connections to the present address.
+    /// Number of connections to the current address.
     open: RefCell<Rc<Cell<usize>>>,
 }
 
-/// A connection, counted among those to its address.
+/// A connection, counted with the others to its address.
 struct CounterConnection {
     conn: OutboundConnection,
     _open: CountGuard,
 }
 
-/// Connections to one address at most: the counter resets those beyond 32, and after a cut still holds as many that
-/// were given up here without its hearing of it.
-const CONNECTIONS_MOST: usize = descriptors::MAX_COUNTER_CONNECTIONS;
+/// Most connections to one address. The counter resets connections beyond 32, and after a network failure it may still
+/// hold connections that were given up here without its knowledge.
+const MAX_CONNECTIONS: usize = descriptors::MAX_COUNTER_CONNECTIONS;
 
 impl Counter {
-    /// The counter at an address; a call is given up after `limit`, and its end goes to the sink.
+    /// Creates a client for the counter at this address. A call is given up after `call_timeout`; its result goes to the
+    /// sink.
     pub fn new(
         address: SocketAddr,
-        limit: Micros,
+        call_timeout: Micros,
         descriptors: Rc<DescriptorBudget>,
         sink: EventSink,
     ) -> Rc<Self> {
-        let limit = Duration::from_micros(limit);
+        let call_timeout = Duration::from_micros(call_timeout);
         Rc::new(Counter {
             address: Cell::new(address),
-            limit,
+            call_timeout,
             descriptors,
             sink,
             idle: RefCell::default(),
@@ -55,8 +56,8 @@
         })
     }
 
-    /// Moves to another address: new calls go there, those under way finish where they are, and connections to
-    /// the old address are let go as they fall idle.
+    /// Switches to another address. New calls go there; calls in progress finish at the old address, and connections
+    /// to it are closed once they are idle.
     pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.idle.borrow_mut().clear();
@@ -64,39 +65,41 @@
         }
     }
 
-    /// Makes a call; its end is reported. Calls on one name never overlap: the module has one call out
-    /// for a customer at a time, and no two customers share a name.
+    /// Makes a call and reports its result to the sink. Calls for one name never overlap: the gateway makes one call for
+    /// a customer at a time, and no two customers share a name.
     pub fn call(self: &Rc<Self>, name: u64, amount: f64, ttl: Micros) {
         let counter = self.clone();
         tokio::task::spawn_local(async move {
             let (start, written) = (Instant::now(), Cell::new(false));
-            let ended = timeout(counter.limit, counter.exchange((name, amount, ttl), &written)).await;
-            let (status, total) = match ended {
-                Ok(ended) => ended,
+            let result = timeout(counter.call_timeout, counter.exchange((name, amount, ttl), &written)).await;
+            let (status, total) = match result {
+                Ok(result) => result,
                 Err(_) if written.get() => (Status::Timeout, 0.0),
                 Err(_) => (Status::ConnectFailed, 0.0),
             };
             let latency = start.elapsed().as_micros() as Micros;
-            log::debug!("count {name} {amount}: {status:?} {total} after {latency} us");
+            log::debug!(
+                "count {name}: adding {amount} ended with {status:?}, total {total}, after {latency} us"
+            );
             (counter.sink)(NetworkEvent::Counted { name, status, total, latency });
         });
     }
 
-    fn take(&self) -> Option<CounterConnection> {
+    fn take_idle(&self) -> Option<CounterConnection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(kept) = idle.pop() {
-            if kept.conn.idle_time() < IDLE_MOST && kept.conn.nothing_pending() {
+            if kept.conn.idle_time() < MAX_IDLE_TIME && kept.conn.nothing_pending() {
                 return Some(kept);
             }
         }
         None
     }
 
-    /// Opens a connection; says how the call ended where none can be had.
-    async fn open(&self) -> Result<CounterConnection, Status> {
+    /// Opens a connection. On failure, returns the status of the call.
+    async fn connect(&self) -> Result<CounterConnection, Status> {
         let open = self.open.borrow().clone();
-        // Nothing was added where no connection may be opened.
-        let held = self.descriptors.try_acquire(Owner::Counter).filter(|_| open.get() < CONNECTIONS_MOST);
+        // `Status::Full`, as nothing is added if no connection may be opened.
+        let held = self.descriptors.try_acquire(Owner::Counter).filter(|_| open.get() < MAX_CONNECTIONS);
         let (held, _open) = (held.ok_or(Status::Full)?, CountGuard::new(&open));
         let conn =
             OutboundConnection::connect(self.address.get(), held).await.map_err(|_| Status::ConnectFailed)?;
@@ -105,32 +108,32 @@
 
     async fn exchange(&self, (name, amount, ttl): (u64, f64, Micros), written: &Cell<bool>) -> (Status, f64) {
         let address = self.address.get();
-        let mut call = match self.take() {
+        let mut call = match self.take_idle() {
             Some(kept) => kept,
-            None => match self.open().await {
+            None => match self.connect().await {
                 Ok(opened) => opened,
                 Err(status) => return (status, 0.0),
             },
         };
         let mut message = Vec::with_capacity(128);
         let ttl = ttl.div_ceil(1_000).max(1);
-        let done = write!(
+        let formatted = write!(
             message,
             "POST /v1/count/{name}?add={amount}&ttl_ms={ttl} HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n"
         );
-        debug_assert!(done.is_ok(), "writing to memory cannot fail");
+        debug_assert!(formatted.is_ok(), "writing to memory cannot fail");
         if call.conn.write(&message, written).await.is_err() {
             return (Status::ConnectFailed, 0.0);
         }
         let Response { head, body, reusable, .. } = match call.conn.read_response().await {
-            // Nobody could tell whether all digits of such a total have come.
+            // The total may be incomplete, as the body has no length.
             Ok(reply) if reply.close_delimited => return (Status::Error, 0.0),
             Ok(reply) => reply,
             Err(ExchangeError::Connection(_)) => return (Status::Reset, 0.0),
-            // Added, but the total cannot be read.
+            // The amount was added, but the total cannot be read.
             Err(ExchangeError::InvalidResponse(_)) => return (Status::Error, 0.0),
         };
-        let ended = match head.status {
+        let result = match head.status {
             200 => match std::str::from_utf8(&body).ok().and_then(|t| t.trim().parse::<f64>().ok()) {
                 Some(total) if total.is_finite() => (Status::Ok, total),
                 _ => (Status::Error, 0.0),
@@ -138,18 +141,18 @@
             400 | 404 | 503 => (Status::Full, 0.0),
             _ => (Status::Error, 0.0),
         };
-        // A connection that has brought what makes no sense is of no further use.
-        if reusable && ended.0 != Status::Error && self.address.get() == address {
+        // After an invalid response, the connection is not reused.
+        if reusable && result.0 != Status::Error && self.address.get() == address {
             call.conn.mark_idle();
             self.idle.borrow_mut().push(call);
         }
-        ended
+        result
     }
 
-    /// Lets go of connections that have stood idle too long or were closed from the other side.
+    /// Closes connections that have been idle for too long or that the counter has closed.
     pub fn prune(&self) {
         self.idle
             .borrow_mut()
-            .retain(|kept| kept.conn.idle_time() < IDLE_MOST && kept.conn.nothing_pending());
+            .retain(|kept| kept.conn.idle_time() < MAX_IDLE_TIME && kept.conn.nothing_pending());
     }
 }
--- a/limeway/src/main.rs
+++ b/limeway/src/main.rs
@@ -1,4 +1,4 @@
-//! limeway: a quota limiter on real sockets, round the decisions of `pondgw`. Start, signals, exit code.
+//! limeway: a quota limiter, which runs the decision module `pondgw` on real sockets. Startup, signals and shutdown.
 #![forbid(unsafe_code)]
 
 mod clients;
@@ -15,12 +15,12 @@
 mod upstream;
 
 use crate::core::Core;
-use clients::client_table::{ClientTable, Closing};
+use clients::client_table::{ClientTable, CloseIdle};
 use clients::listener;
 use config::Config;
 use network::descriptors::DescriptorBudget;
 use network::loop_lag::LoopLag;
-use signals::{Request, Signals};
+use signals::{SignalRequest, Signals};
 use start_error::StartError;
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -30,26 +30,28 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Discovery has so long to answer; then what was known must do.
-const READY_MOST: Duration = Duration::from_secs(2);
-/// Time between two looks at idle connections.
-const PRUNE_EVERY: Duration = Duration::from_secs(1);
-/// After SIGTERM, idle connections are closed after this time; new ones go on coming till then and a bit on.
-const CLOSE_IDLE: Duration = Duration::from_millis(450);
-/// The listener closes once so much time has passed without a new connection, and at the latest then: what comes
-/// 0.7 s after SIGTERM or later must be answered by SIGKILL.
-const LISTEN_ON: (Duration, Duration) = (Duration::from_millis(250), Duration::from_millis(650));
-/// After the last of what has been taken is answered, its connections have so long to take the answer.
-const LAST_MOST: Duration = Duration::from_millis(1_000);
+/// If discovery has not answered within this time, the limiter is ready with the servers of its configuration.
+const DISCOVERY_WAIT: Duration = Duration::from_secs(2);
+/// Interval between checks for idle connections to close.
+const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
+/// Time from SIGTERM to the closing of idle connections. New connections still arrive until then and a little longer.
+const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(450);
+/// During shutdown, the listener closes once no connection has arrived for this time.
+const LISTEN_QUIET_TIME: Duration = Duration::from_millis(250);
+/// Latest time after SIGTERM at which the listener closes: a request that arrives 0.7 s after SIGTERM or later must be
+/// answered before SIGKILL.
+const LISTEN_MAX_TIME: Duration = Duration::from_millis(650);
+/// Time for clients to take their responses once the last accepted request is answered.
+const LAST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 fn main() -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("warn")).init();
     let lag = LoopLag::new();
-    let (parking, unparked) = (lag.clone(), lag.clone());
+    let (park_lag, unpark_lag) = (lag.clone(), lag.clone());
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .on_thread_park(move || parking.on_park())
-        .on_thread_unpark(move || unparked.on_unpark())
+        .on_thread_park(move || park_lag.on_park())
+        .on_thread_unpark(move || unpark_lag.on_unpark())
         .build();
     let runtime = match runtime {
         Ok(runtime) => runtime,
@@ -71,7 +73,7 @@
 }
 
 async fn serve(lag: Arc<LoopLag>) -> Result<(), StartError> {
-    // Before all else: a signal that comes early must not find its default action, which ends the process.
+    // First of all, as an early signal would otherwise take its default action and kill the process.
     let signals = Signals::listen().map_err(StartError::Signals)?;
     let config = Config::load(env)?;
     let listener = listener::listen(config.listen).map_err(|e| StartError::Listen(config.listen, e))?;
@@ -82,9 +84,9 @@
         }
         None => None,
     };
-    let descriptors = DescriptorBudget::divide(config.sockets);
+    let descriptors = DescriptorBudget::new(config.sockets);
     let table = ClientTable::new(descriptors.clone());
-    log::info!("limiter {} listens at {}", config.name, config.listen);
+    log::info!("limiter {} listens on {}", config.name, config.listen);
     let core = Core::new(config, peers, descriptors, lag);
 
     spawn_local(core.clone().run_timers());
@@ -94,70 +96,75 @@
         spawn_local(peers::run(peers.clone(), me, core.sink.clone()));
     }
     spawn_local(housekeeping(core.clone()));
-    spawn_local(core.lag.clone().watch());
+    spawn_local(core.lag.clone().run());
     let stop_listening = Rc::new(Notify::new());
     let accepting = spawn_local(listener::run(core.clone(), table.clone(), listener, stop_listening.clone()));
 
-    let end_requested = Rc::new(Notify::new());
-    spawn_local(heed(signals, core.clone(), end_requested.clone()));
-    end_requested.notified().await;
-    log::info!("ending: {} requests are open", core.unanswered());
+    let shutdown_requested = Rc::new(Notify::new());
+    spawn_local(handle_signals(signals, core.clone(), shutdown_requested.clone()));
+    shutdown_requested.notified().await;
+    log::info!("shutting down: {} requests are open", core.unanswered());
     core.begin_shutdown();
-    let ending_since = Instant::now();
-    sleep(CLOSE_IDLE).await;
-    table.close_idle(Closing::Used);
-    while ending_since.elapsed() < LISTEN_ON.1 && table.quiet_for() < LISTEN_ON.0 {
+    let shutdown_started = Instant::now();
+    sleep(CLOSE_IDLE_AFTER).await;
+    table.close_idle(CloseIdle::Used);
+    while shutdown_started.elapsed() < LISTEN_MAX_TIME && table.time_since_accept() < LISTEN_QUIET_TIME {
         sleep(Duration::from_millis(10)).await;
     }
-    // What waits to be accepted was connected before: it is taken first.
+    // Connections that wait in the listen queue are accepted before the listener closes.
     stop_listening.notify_one();
-    let _ = timeout(LISTEN_ON.0, accepting).await;
-    table.close_idle(Closing::All);
-    table.turn_away_partial();
-    // Whatever has been taken is answered by its own deadline; ending before that would lose it.
-    let mut answered = Instant::now();
-    while table.open() > 0 && answered.elapsed() < LAST_MOST {
-        if core.unanswered() > 0 || table.is_receiving() {
-            answered = Instant::now();
+    let _ = timeout(LISTEN_QUIET_TIME, accepting).await;
+    table.close_idle(CloseIdle::All);
+    table.evict_partial_requests();
+    // Each accepted request is answered by its own deadline; exiting earlier would lose it.
+    let mut last_answered = Instant::now();
+    while table.open() > 0 && last_answered.elapsed() < LAST_RESPONSE_TIMEOUT {
+        if core.unanswered() > 0 || table.has_partial_requests() {
+            last_answered = Instant::now();
         }
         sleep(Duration::from_millis(5)).await;
     }
-    log::info!("ended: {} requests are open", core.unanswered());
+    log::info!("shutdown complete: {} requests are open", core.unanswered());
     Ok(())
 }
 
-/// Heeds signals for ever: also while the process ends, which may take as long as the longest deadline.
-async fn heed(mut signals: Signals, core: Rc<Core>, end_requested: Rc<Notify>) {
+/// Handles signals; never returns. Goes on during shutdown, which may take as long as the longest deadline.
+async fn handle_signals(mut signals: Signals, core: Rc<Core>, shutdown_requested: Rc<Notify>) {
     loop {
         match signals.next().await {
-            Request::Reload => reload(&core),
-            Request::End => end_requested.notify_one(),
+            SignalRequest::Reload => reload(&core),
+            SignalRequest::Shutdown => shutdown_requested.notify_one(),
         }
     }
 }
 
-/// Takes in the file anew; one that cannot be used changes nothing.
+/// Reads the configuration file again. If it is invalid, nothing changes.
 fn reload(core: &Core) {
     match core.service_addresses.get().reload(env) {
-        Ok(places) => {
-            log::warn!("reloaded: discovery {}, counter {:?}", places.discovery, places.counter);
-            core.set_service_addresses(places);
+        Ok(addresses) => {
+            log::warn!(
+                "configuration reloaded: discovery {}, counter {:?}",
+                addresses.discovery,
+                addresses.counter
+            );
+            core.set_service_addresses(addresses);
         }
-        Err(e) => log::error!("the configuration stays as it was: {e}"),
+        Err(e) => log::error!("reload failed, configuration unchanged: {e}"),
     }
 }
 
-/// Lets go of idle connections in time, and makes do with the known servers where discovery is silent.
+/// Closes idle connections in time, and declares the limiter ready with the configured servers if discovery does not
+/// answer.
 async fn housekeeping(core: Rc<Core>) {
     let start = Instant::now();
     loop {
-        sleep(PRUNE_EVERY).await;
+        sleep(PRUNE_INTERVAL).await;
         core.pools.prune();
         if let Some(counter) = &core.counter {
             counter.prune();
         }
-        // One that has nothing to send to would only draw clients to itself to turn them away.
-        if start.elapsed() >= READY_MOST && core.pools.any_in_service() {
+        // Without a server in service, a ready limiter would only attract clients to reject their requests.
+        if start.elapsed() >= DISCOVERY_WAIT && core.pools.any_in_service() {
             core.ready.set(true);
         }
     }
--- a/limeway/src/network.rs
+++ b/limeway/src/network.rs
@@ -1,4 +1,4 @@
-//! What all sides share: connections, messages, descriptors, and what is reported of them.
+//! Networking shared by all parts: outbound connections, HTTP messages, the descriptor budget and network events.
 
 pub mod connection;
 pub mod descriptors;
--- a/limeway/src/network/connection.rs
+++ b/limeway/src/network/connection.rs
@@ -1,8 +1,8 @@
-//! A connection of the limiter's own, to a server, the counter or discovery: one message there, one answer back.
+//! Connections that the limiter opens, to servers, the counter and discovery: one request at a time, one response each.
 
 use crate::network::descriptors::CountGuard;
-use crate::network::http::{self, Body};
-use crate::network::stream_io::{read_some, uninterrupted, write_whole};
+use crate::network::http::{self, BodyReader};
+use crate::network::stream_io::{read_some, retry_interrupted, write_all};
 use bytes::BytesMut;
 use std::cell::Cell;
 use std::fmt;
@@ -13,19 +13,20 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest pause within an answer that has begun: servers are near. Its length is bounded as well.
-const STALL: Duration = Duration::from_millis(250);
-/// Answers of the kind 1xx ahead of the real one, at most.
-const INTERIM_MOST: u32 = 8;
+/// Longest pause within a response that has begun. Servers are near, so a longer one means that the response will not
+/// be completed.
+const STALL_TIMEOUT: Duration = Duration::from_millis(250);
+/// Most interim (1xx) responses before the final one.
+const MAX_INTERIM_RESPONSES: u32 = 8;
 /// Largest buffer that an idle connection keeps, in bytes.
-const BUFFER_KEPT: usize = 4 * 1024;
+const MAX_IDLE_BUFFER: usize = 4 * 1024;
 
-/// Why no answer came of a message.
+/// Why a request got no response.
 #[derive(Debug)]
 pub enum ExchangeError {
-    /// The connection ended or broke.
+    /// The connection was closed or failed.
     Connection(io::Error),
-    /// What came cannot be read as an answer; the connection itself may stay open, but is of no further use.
+    /// The input is not a valid response. The connection may still be open, but cannot be used any more.
     InvalidResponse(&'static str),
 }
 
@@ -44,45 +45,45 @@
 impl fmt::Display for ExchangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ExchangeError::Connection(e) => write!(f, "connection ended: {e}"),
-            ExchangeError::InvalidResponse(reason) => write!(f, "spoilt answer: {reason}"),
+            ExchangeError::Connection(e) => write!(f, "connection failed: {e}"),
+            ExchangeError::InvalidResponse(reason) => write!(f, "invalid response: {reason}"),
         }
     }
 }
 
 impl std::error::Error for ExchangeError {}
 
-/// A whole answer.
+/// A complete response.
 pub struct Response {
-    /// Its head, by places in `bytes`.
+    /// Its head, as ranges of `bytes`.
     pub head: http::Head,
-    /// What the head was read from.
+    /// The bytes of the head.
     pub bytes: BytesMut,
     /// Its body.
     pub body: Vec<u8>,
-    /// The connection may be used again.
+    /// Whether the connection can carry another request.
     pub reusable: bool,
-    /// The answer told no length: its body is what came before the orderly end of the connection.
+    /// Whether the body was ended by the orderly close of the connection, as the head gives no length.
     pub close_delimited: bool,
 }
 
-/// What the system itself shows of a connection on which nothing is awaited.
+/// State of the receiving side of a socket, as the kernel reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SocketState {
-    /// Neither bytes nor an end have come.
+    /// There is neither data nor an end of input.
     NothingPending,
-    /// Bytes have come.
+    /// There is unread data.
     DataPending,
-    /// The other side has ended its sending.
+    /// The peer has closed its sending side.
     PeerClosed,
-    /// The connection was reset or broke in another way.
+    /// The connection was reset or failed in another way.
     Failed,
 }
 
-/// The state of a connection on which nothing is awaited, by the system itself.
+/// Asks the kernel for the state of a socket, as the runtime's view may be outdated by an iteration of its loop.
 pub fn socket_state(stream: &TcpStream) -> SocketState {
     let mut byte = [MaybeUninit::uninit(); 1];
-    match uninterrupted(|| socket2::SockRef::from(stream).peek(&mut byte)) {
+    match retry_interrupted(|| socket2::SockRef::from(stream).peek(&mut byte)) {
         Ok(0) => SocketState::PeerClosed,
         Ok(_) => SocketState::DataPending,
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => SocketState::NothingPending,
@@ -90,120 +91,121 @@
     }
 }
 
-/// Whether neither bytes nor the end have come on a connection, by the system itself.
+/// Whether the kernel has neither data nor an end of input for this socket.
 pub fn nothing_pending(stream: &TcpStream) -> bool {
     socket_state(stream) == SocketState::NothingPending
 }
 
-/// Connects; an attempt that is interrupted by a signal is made again.
-async fn connect(to: SocketAddr) -> io::Result<TcpStream> {
+/// Opens a connection, again if a signal interrupts that.
+async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     loop {
-        match TcpStream::connect(to).await {
+        match TcpStream::connect(address).await {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            end => return end,
+            result => return result,
         }
     }
 }
 
-/// A kept connection of ours.
+/// A connection that the limiter has opened.
 pub struct OutboundConnection {
     stream: TcpStream,
     buffer: BytesMut,
-    since: Instant,
-    /// Longest body of an answer, in bytes.
-    most: usize,
-    /// Where it leads.
+    idle_since: Instant,
+    /// Largest body of a response, in bytes.
+    max_body: usize,
+    /// The peer's address.
     pub address: SocketAddr,
     _held: CountGuard,
 }
 
 impl OutboundConnection {
-    /// Opens a connection; its descriptor is held for as long as it lives.
+    /// Opens a connection, which keeps `held` until it is dropped.
     pub async fn connect(address: SocketAddr, held: CountGuard) -> io::Result<Self> {
         Self::connect_with_body_limit(address, held, http::MAX_RESPONSE_BODY).await
     }
 
-    /// The same, for answers with bodies of so many bytes.
+    /// The same, for response bodies of up to `max_body` bytes.
     pub async fn connect_with_body_limit(
         address: SocketAddr,
         held: CountGuard,
-        most: usize,
+        max_body: usize,
     ) -> io::Result<Self> {
         let stream = connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(OutboundConnection {
             stream,
             buffer: BytesMut::with_capacity(1024),
-            since: Instant::now(),
-            most,
+            idle_since: Instant::now(),
+            max_body,
             address,
             _held: held,
         })
     }
 
-    /// Whether nothing has come since the last answer, neither bytes nor the end. Asks the system itself:
-    /// what the runtime knows of the socket may be a turn old.
+    /// Whether neither data nor the end of input has arrived since the last response.
     pub fn nothing_pending(&self) -> bool {
         self.buffer.is_empty() && nothing_pending(&self.stream)
     }
 
-    /// What the system shows of it while nothing is awaited.
+    /// State of the receiving side while no response is awaited.
     pub fn socket_state(&self) -> SocketState {
         socket_state(&self.stream)
     }
 
-    /// How long it has stood idle.
+    /// Time for which the connection has been idle.
     pub fn idle_time(&self) -> Duration {
-        self.since.elapsed()
+        self.idle_since.elapsed()
     }
 
-    /// Marks it as idle from now on; a buffer that has grown is let go.
+    /// Marks the connection as idle from now on, and frees a buffer that has grown.
     pub fn mark_idle(&mut self) {
-        self.since = Instant::now();
-        if self.buffer.capacity() > BUFFER_KEPT {
+        self.idle_since = Instant::now();
+        if self.buffer.capacity() > MAX_IDLE_BUFFER {
             self.buffer = BytesMut::new();
         }
     }
 
-    /// Writes a message; sets `written` once its last byte has been handed over.
+    /// Writes a request; sets `written` once its last byte is handed to the system.
     pub async fn write(&mut self, message: &[u8], written: &Cell<bool>) -> io::Result<()> {
-        write_whole(&mut self.stream, message).await?;
+        write_all(&mut self.stream, message).await?;
         written.set(true);
         Ok(())
     }
 
-    /// Reads one whole answer, past those of the kind 1xx.
+    /// Reads a complete response, skipping interim (1xx) ones.
     pub async fn read_response(&mut self) -> Result<Response, ExchangeError> {
-        for _ in 0..=INTERIM_MOST {
+        for _ in 0..=MAX_INTERIM_RESPONSES {
             if self.buffer.is_empty() {
-                self.more().await?;
+                self.read_more().await?;
             }
-            if let Some(reply) = self.read_begun().await? {
+            if let Some(reply) = self.read_begun_response().await? {
                 return Ok(reply);
             }
         }
-        Err(ExchangeError::InvalidResponse("too many interim answers"))
+        Err(ExchangeError::InvalidResponse("too many interim responses"))
     }
 
-    async fn more(&mut self) -> Result<(), ExchangeError> {
+    async fn read_more(&mut self) -> Result<(), ExchangeError> {
         match read_some(&mut self.stream, &mut self.buffer).await? {
             0 => Err(ExchangeError::Connection(io::ErrorKind::UnexpectedEof.into())),
             _ => Ok(()),
         }
     }
 
-    /// More of an answer that has begun. Guards against a head without end and a length that no body fills:
-    /// whoever has begun to answer goes on to its end.
-    async fn more_soon(&mut self) -> Result<(), ExchangeError> {
-        timeout(STALL, self.more()).await.unwrap_or(Err(ExchangeError::InvalidResponse("stalled")))
+    /// Reads more of a response that has begun, within the stall timeout. Guards against a head that never ends and a
+    /// body shorter than its length.
+    async fn read_more_before_stall(&mut self) -> Result<(), ExchangeError> {
+        timeout(STALL_TIMEOUT, self.read_more())
+            .await
+            .unwrap_or(Err(ExchangeError::InvalidResponse("stalled")))
     }
 
-    /// Reads the answer that has begun; nothing if it was of the kind 1xx.
-    async fn read_begun(&mut self) -> Result<Option<Response>, ExchangeError> {
+    /// Reads the rest of a response that has begun; `None` if it was an interim one.
+    async fn read_begun_response(&mut self) -> Result<Option<Response>, ExchangeError> {
         let head = loop {
-            match http::answer(&self.buffer, self.most)? {
+            match http::parse_response_head(&self.buffer, self.max_body)? {
                 Some(head) => break head,
-                None => self.more_soon().await?,
+                None => self.read_more_before_stall().await?,
             }
         };
         let bytes = self.buffer.split_to(head.len);
@@ -213,7 +215,7 @@
         let close_delimited = head.framing == http::Framing::UntilClose;
         let body = match (close_delimited, head.status) {
             (true, 200) => self.read_to_close().await?,
-            // Nobody reads the body of any other answer.
+            // With any other status, the body is not used.
             (true, _) => Vec::new(),
             (false, _) => self.read_framed(head.framing).await?,
         };
@@ -221,22 +223,22 @@
         Ok(Some(Response { head, bytes, body, reusable, close_delimited }))
     }
 
-    /// Reads a body that tells its own end.
+    /// Reads a body with a length or in chunks.
     async fn read_framed(&mut self, framing: http::Framing) -> Result<Vec<u8>, ExchangeError> {
-        let mut body = Body::new(framing, self.most);
-        while !body.take(&mut self.buffer)? {
-            self.more_soon().await?;
+        let mut body = BodyReader::new(framing, self.max_body);
+        while !body.consume(&mut self.buffer)? {
+            self.read_more_before_stall().await?;
         }
         Ok(body.bytes)
     }
 
-    /// Reads a body that goes on to the orderly end of its connection; one that breaks has no end.
+    /// Reads a body that ends with the orderly close of the connection; any other end is an error.
     async fn read_to_close(&mut self) -> Result<Vec<u8>, ExchangeError> {
         loop {
-            if self.buffer.len() > self.most {
+            if self.buffer.len() > self.max_body {
                 return Err(http::HttpError::BodyTooLong.into());
             }
-            match self.more_soon().await {
+            match self.read_more_before_stall().await {
                 Ok(()) => {}
                 Err(ExchangeError::Connection(e)) if e.kind() == io::ErrorKind::UnexpectedEof => {
                     return Ok(std::mem::take(&mut self.buffer).to_vec());
--- a/limeway/src/network/descriptors.rs
+++ b/limeway/src/network/descriptors.rs
@@ -1,37 +1,39 @@
-//! Division of the descriptors that the process may hold among those that open connections.
+//! Division of the process's descriptors among those that open connections.
 //!
-//! Each owner has a guaranteed share and an upper bound. It may open one more while it is below its share, or while
-//! what the others hold, and what is left of their shares, still leaves one over. So the sum over all owners of the
-//! larger of "open" and "share" never exceeds the budget: nobody is kept from its share, what is not needed
-//! elsewhere can be used, and the process does not run out. The shares add up to less than the budget from
-//! [`MIN_SOCKETS`] on.
+//! Each owner has a guaranteed share and an upper bound. It may open another connection while it holds less than its
+//! share, or while the budget still has room after what the other owners hold and the unused rest of their shares. So
+//! the sum of max(open, share) over all owners never exceeds the budget: every owner can have its share, descriptors
+//! that others do not need can be used, and the process never runs out. From [`MIN_SOCKETS`] on, the shares add up to
+//! less than the budget.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Least number of descriptors with which the limiter can work at all.
+/// Least number of descriptors that the limiter can work with.
 pub const MIN_SOCKETS: usize = 64;
-/// DescriptorBudget that are no connections: standard streams (3), runtime (3), signals (3), listener, datagrams, the
-/// configuration while it is read, a connection that is just being accepted, and a few inherited from the parent.
-const NO_CONNECTIONS: usize = 16;
-/// Clients hold at most this part of all descriptors for requests (deployment page).
-const REQUESTS_PART: usize = 3;
-/// Part of all descriptors that connections to servers are sure of: three in eight of the requests that clients can
-/// have open at once, as most of these wait for quota or are just being read or answered.
-const SERVERS_PART: usize = 8;
-/// Connections to servers beyond one for each open request: these stand idle to be used again.
-const SERVERS_MORE: usize = 8;
-/// Part of all descriptors that connections to the counter are sure of. A call takes milliseconds, so that few
-/// carry some hundred calls a second.
-const COUNTER_PART: usize = 32;
-/// Bounds on that share.
-const COUNTER_SHARE: (usize, usize) = (2, 8);
-/// Connections to one address of the counter at most, see `counter`.
+/// Descriptors that are not connections: standard streams (3), runtime (3), signals (3), listener, datagram socket, the
+/// configuration file while it is read, a connection that is just being accepted, and a few inherited from the parent.
+const RESERVED: usize = 16;
+/// Client connections with a request take at most one in so many of all descriptors (deployment specification).
+const CLIENT_REQUESTS_DIVISOR: usize = 3;
+/// Connections to servers are guaranteed one in so many of all descriptors. That is three for every eight requests that
+/// clients can have open, as most of these wait for quota or are just being read or answered.
+const SERVERS_DIVISOR: usize = 8;
+/// Connections to servers beyond one for each open request: these are idle, for reuse.
+const SPARE_SERVER_CONNECTIONS: usize = 8;
+/// Connections to the counter are guaranteed one in so many of all descriptors, within the two bounds below. A call
+/// takes milliseconds, so that a few connections carry some hundred calls a second.
+const COUNTER_DIVISOR: usize = 32;
+/// Least guaranteed share of the counter.
+const MIN_COUNTER_SHARE: usize = 2;
+/// Largest guaranteed share of the counter.
+const MAX_COUNTER_SHARE: usize = 8;
+/// Most connections to one address of the counter; for the reason see the module `counter`.
 pub const MAX_COUNTER_CONNECTIONS: usize = 24;
-/// Calls to discovery that are under way at most, see `discovery`; all of them are sure of a connection.
+/// Most calls to discovery in progress, see the module `discovery::follower`; a connection is guaranteed to each.
 pub const MAX_DISCOVERY_CALLS: usize = 4;
 
-/// Who opens connections.
+/// Who opens a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Owner {
     /// Clients, by connecting.
@@ -44,31 +46,33 @@
     Discovery,
 }
 
-/// The four owners, in the order of their allotments.
+/// All owners, in the order of their allotments.
 const OWNERS: [Owner; 4] = [Owner::Clients, Owner::Servers, Owner::Counter, Owner::Discovery];
 
 /// What one owner holds and may hold.
 #[derive(Debug)]
 struct Allotment {
     open: Rc<Cell<usize>>,
+    /// Guaranteed to the owner.
     share: usize,
-    most: usize,
+    /// Upper bound.
+    max: usize,
 }
 
 /// The descriptors of the process.
 #[derive(Debug)]
 pub struct DescriptorBudget {
     budget: usize,
-    requests: usize,
+    max_client_requests: usize,
     allotments: [Allotment; OWNERS.len()],
 }
 
-/// Counts what is open for as long as it lives.
+/// Counts one open descriptor or connection until dropped.
 #[derive(Debug)]
 pub struct CountGuard(Rc<Cell<usize>>);
 
 impl CountGuard {
-    /// One more.
+    /// Adds one to a count.
     pub fn new(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
         CountGuard(open.clone())
@@ -82,56 +86,53 @@
 }
 
 impl DescriptorBudget {
-    /// Divides so many descriptors.
-    pub fn divide(total: usize) -> Rc<Self> {
+    /// Divides this number of descriptors.
+    pub fn new(total: usize) -> Rc<Self> {
         let total = total.max(MIN_SOCKETS);
-        let requests = total / REQUESTS_PART;
+        let max_client_requests = total / CLIENT_REQUESTS_DIVISOR;
         let allotment = |owner| {
-            let (share, most) = match owner {
-                Owner::Clients => (requests, total),
-                Owner::Servers => (total / SERVERS_PART, requests + SERVERS_MORE),
-                // Twice the most at one address: those to an old one end on their own.
-                Owner::Counter => (
-                    (total / COUNTER_PART).clamp(COUNTER_SHARE.0, COUNTER_SHARE.1),
-                    2 * MAX_COUNTER_CONNECTIONS,
-                ),
+            let (share, max) = match owner {
+                Owner::Clients => (max_client_requests, total),
+                Owner::Servers => (total / SERVERS_DIVISOR, max_client_requests + SPARE_SERVER_CONNECTIONS),
+                // Enough for two addresses: after a change of address, connections to the old one end on their own.
+                Owner::Counter => {
+                    let share = (total / COUNTER_DIVISOR).clamp(MIN_COUNTER_SHARE, MAX_COUNTER_SHARE);
+                    (share, 2 * MAX_COUNTER_CONNECTIONS)
+                }
                 Owner::Discovery => (MAX_DISCOVERY_CALLS, MAX_DISCOVERY_CALLS),
             };
-            Allotment { open: Rc::default(), share, most }
+            Allotment { open: Rc::default(), share, max }
         };
-        Rc::new(DescriptorBudget {
-            budget: total - NO_CONNECTIONS,
-            requests,
-            allotments: OWNERS.map(allotment),
-        })
+        let allotments = OWNERS.map(allotment);
+        Rc::new(DescriptorBudget { budget: total - RESERVED, max_client_requests, allotments })
     }
 
-    /// Connections that clients hold for requests at most.
-    pub fn requests(&self) -> usize {
-        self.requests
+    /// Most client connections that may have a request at the same time.
+    pub fn max_client_requests(&self) -> usize {
+        self.max_client_requests
     }
 
-    /// Connections that an owner has open.
+    /// Number of connections that an owner has open.
     pub fn open(&self, owner: Owner) -> usize {
         self.allotments[owner as usize].open.get()
     }
 
-    /// Connections that an owner may have open at present.
+    /// Number of connections that an owner may have open at present.
     pub fn limit(&self, owner: Owner) -> usize {
         let others = OWNERS.iter().filter(|other| **other != owner).map(|other| {
             let allotment = &self.allotments[*other as usize];
             allotment.open.get().max(allotment.share)
         });
         let left = self.budget.saturating_sub(others.sum());
-        left.min(self.allotments[owner as usize].most)
+        left.min(self.allotments[owner as usize].max)
     }
 
-    /// Takes a descriptor; nothing where the owner may open no more.
+    /// Acquires a descriptor for a new connection; `None` if the owner may open no more.
     pub fn try_acquire(&self, owner: Owner) -> Option<CountGuard> {
         (self.open(owner) < self.limit(owner)).then(|| self.acquire(owner))
     }
 
-    /// Takes a descriptor that is open already.
+    /// Counts a descriptor that is open already.
     pub fn acquire(&self, owner: Owner) -> CountGuard {
         CountGuard::new(&self.allotments[owner as usize].open)
     }
--- a/limeway/src/network/http.rs
+++ b/limeway/src/network/http.rs
@@ -1,41 +1,41 @@
-//! HTTP/1.1 framing for all sides: heads, bodies, limits, keep-alive.
+//! HTTP/1.1 messages: heads, body framing, size limits and keep-alive, for clients, servers, the counter and discovery.
 
 use bytes::{Buf, BytesMut};
 use std::fmt;
 use std::ops::Range;
 
-/// Longest head of a message, in bytes.
+/// Largest head of a message, in bytes.
 pub const MAX_HEAD: usize = 16 * 1024;
-/// Longest body of a request, in bytes.
+/// Largest body of a request, in bytes.
 pub const MAX_REQUEST_BODY: usize = 64 * 1024;
-/// Longest body of a server's answer, in bytes: servers have been seen to send some 400 KB.
+/// Largest body of a server's response, in bytes: servers have been seen to send some 400 KB.
 pub const MAX_RESPONSE_BODY: usize = 1024 * 1024;
-/// Most headers of a message.
-const HEADERS_MOST: usize = 64;
-/// Longest line that opens a chunk, in bytes; and all trailers together.
-const CHUNK_LINE_MOST: usize = 1024;
+/// Most headers in a message.
+const MAX_HEADERS: usize = 64;
+/// Longest chunk-size line, and largest size of all trailers together, in bytes.
+const MAX_CHUNK_LINE: usize = 1024;
 
-/// Why a message cannot be read.
+/// Why a message cannot be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HttpError {
-    /// It is no HTTP/1.x message, or its framing is ambiguous.
+    /// It is not an HTTP/1.x message, or its framing is ambiguous.
     Malformed,
     /// The head is too long.
     HeadTooLong,
     /// The body is too long.
     BodyTooLong,
-    /// A transfer coding other than chunked.
-    Coding,
+    /// Its transfer coding is not chunked.
+    UnsupportedCoding,
 }
 
 impl HttpError {
-    /// The error in words.
+    /// Text for messages.
     pub fn reason(self) -> &'static str {
         match self {
             HttpError::Malformed => "malformed message",
             HttpError::HeadTooLong => "head too long",
             HttpError::BodyTooLong => "body too long",
-            HttpError::Coding => "transfer coding not supported",
+            HttpError::UnsupportedCoding => "transfer coding not supported",
         }
     }
 }
@@ -48,48 +48,48 @@
 
 impl std::error::Error for HttpError {}
 
-/// How long the body is.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes.
+    /// By a length in bytes.
     Length(usize),
-    /// In chunks.
+    /// By chunked transfer coding.
     Chunked,
-    /// As far as the connection goes; answers only.
+    /// By the close of the connection; responses only.
     UntilClose,
 }
 
-/// The first line and the headers of a message, by their places in its bytes.
+/// The start line and the headers of a message, as ranges of its bytes.
 #[derive(Debug)]
 pub struct Head {
-    /// Length in bytes.
+    /// Length of the head in bytes.
     pub len: usize,
-    /// How long the body is.
+    /// How the end of the body is determined.
     pub framing: Framing,
     /// The connection may carry another message after this one.
     pub keep_alive: bool,
-    /// Status of an answer; 0 for a request.
+    /// Status of a response; 0 for a request.
     pub status: u16,
-    /// Method and target of a request; empty for an answer.
+    /// Method of a request; empty for a response.
     pub method: Range<usize>,
-    /// See `method`.
+    /// Target of a request; empty for a response.
     pub target: Range<usize>,
-    /// Names and values.
+    /// Names and values of the headers.
     pub headers: Vec<(Range<usize>, Range<usize>)>,
 }
 
-/// Place of a part in the whole that it was cut from.
-fn place(whole: &[u8], part: &[u8]) -> Range<usize> {
+/// Range of a part within the slice that it was taken from.
+fn range_in(whole: &[u8], part: &[u8]) -> Range<usize> {
     let start = (part.as_ptr() as usize).saturating_sub(whole.as_ptr() as usize);
     start..start + part.len()
 }
 
-/// Whether a comma-separated header names a token.
-fn lists(value: &[u8], token: &str) -> bool {
+/// Whether a comma-separated header value contains a token.
+fn contains_token(value: &[u8], token: &str) -> bool {
     value.split(|b| *b == b',').any(|part| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
 }
 
-fn framing(headers: &[httparse::Header], answer: bool, most: usize) -> Result<Framing, HttpError> {
+fn framing(headers: &[httparse::Header], is_response: bool, max_body: usize) -> Result<Framing, HttpError> {
     let mut length: Option<usize> = None;
     let mut chunked = false;
     for header in headers {
@@ -105,53 +105,53 @@
             length = Some(value);
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             if chunked || !header.value.trim_ascii().eq_ignore_ascii_case(b"chunked") {
-                return Err(HttpError::Coding);
+                return Err(HttpError::UnsupportedCoding);
             }
             chunked = true;
         }
     }
     match (length, chunked) {
-        // Two lengths for one body: a way to smuggle a second request past whoever reads the other one.
+        // A message with both could be read with either length, which allows request smuggling.
         (Some(_), true) => Err(HttpError::Malformed),
-        (Some(length), false) if length > most => Err(HttpError::BodyTooLong),
+        (Some(length), false) if length > max_body => Err(HttpError::BodyTooLong),
         (Some(length), false) => Ok(Framing::Length(length)),
         (None, true) => Ok(Framing::Chunked),
-        (None, false) => Ok(if answer { Framing::UntilClose } else { Framing::Length(0) }),
+        (None, false) => Ok(if is_response { Framing::UntilClose } else { Framing::Length(0) }),
     }
 }
 
 fn keep_alive(headers: &[httparse::Header], version: u8) -> bool {
     let mut keep = version == 1;
     for header in headers.iter().filter(|h| h.name.eq_ignore_ascii_case("connection")) {
-        if lists(header.value, "close") {
+        if contains_token(header.value, "close") {
             return false;
         }
-        keep |= lists(header.value, "keep-alive");
+        keep |= contains_token(header.value, "keep-alive");
     }
     keep
 }
 
-/// What the library made of the bytes: nothing yet, a length, or an error.
-fn length(parsed: httparse::Result<usize>, have: usize) -> Result<Option<usize>, HttpError> {
+/// The length of a parsed head, `None` if it is incomplete so far, or an error.
+fn head_length(parsed: httparse::Result<usize>, available: usize) -> Result<Option<usize>, HttpError> {
     match parsed {
         Ok(httparse::Status::Complete(len)) if len <= MAX_HEAD => Ok(Some(len)),
-        Ok(httparse::Status::Partial) if have < MAX_HEAD => Ok(None),
+        Ok(httparse::Status::Partial) if available < MAX_HEAD => Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(HttpError::HeadTooLong),
         Err(_) => Err(HttpError::Malformed),
     }
 }
 
-fn places(bytes: &[u8], headers: &[httparse::Header]) -> Vec<(Range<usize>, Range<usize>)> {
-    headers.iter().map(|h| (place(bytes, h.name.as_bytes()), place(bytes, h.value))).collect()
+fn header_ranges(bytes: &[u8], headers: &[httparse::Header]) -> Vec<(Range<usize>, Range<usize>)> {
+    headers.iter().map(|h| (range_in(bytes, h.name.as_bytes()), range_in(bytes, h.value))).collect()
 }
 
-/// Reads a request's head; nothing while it is not whole.
-pub fn request(bytes: &[u8]) -> Result<Option<Head>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+/// Parses the head of a request; `None` while it is incomplete.
+pub fn parse_request_head(bytes: &[u8]) -> Result<Option<Head>, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
-    let Some(len) = length(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
+    let Some(len) = head_length(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
     let (Some(method), Some(target)) = (parsed.method, parsed.path) else { return Err(HttpError::Malformed) };
-    // The library takes a bare line feed for the end of a line; a server may not.
+    // The library accepts a bare line feed as the end of a line; a server may not.
     if bytes[..len].iter().zip(&bytes[1..len]).any(|(a, b)| *b == b'\n' && *a != b'\r') {
         return Err(HttpError::Malformed);
     }
@@ -160,20 +160,20 @@
         framing: framing(parsed.headers, false, MAX_REQUEST_BODY)?,
         keep_alive: keep_alive(parsed.headers, parsed.version.unwrap_or(0)),
         status: 0,
-        method: place(bytes, method.as_bytes()),
-        target: place(bytes, target.as_bytes()),
-        headers: places(bytes, parsed.headers),
+        method: range_in(bytes, method.as_bytes()),
+        target: range_in(bytes, target.as_bytes()),
+        headers: header_ranges(bytes, parsed.headers),
     }))
 }
 
-/// Reads an answer's head, whose body may have so many bytes; nothing while it is not whole.
-pub fn answer(bytes: &[u8], most: usize) -> Result<Option<Head>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+/// Parses the head of a response whose body may have up to `max_body` bytes; `None` while it is incomplete.
+pub fn parse_response_head(bytes: &[u8], max_body: usize) -> Result<Option<Head>, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
-    let Some(len) = length(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
+    let Some(len) = head_length(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
     let status = parsed.code.unwrap_or(0);
-    let bare = (100..200).contains(&status) || status == 204 || status == 304;
-    let framing = if bare { Framing::Length(0) } else { framing(parsed.headers, true, most)? };
+    let has_no_body = (100..200).contains(&status) || status == 204 || status == 304;
+    let framing = if has_no_body { Framing::Length(0) } else { framing(parsed.headers, true, max_body)? };
     Ok(Some(Head {
         len,
         framing,
@@ -181,20 +181,20 @@
         status,
         method: 0..0,
         target: 0..0,
-        headers: places(bytes, parsed.headers),
+        headers: header_ranges(bytes, parsed.headers),
     }))
 }
 
 impl Head {
-    /// Value of the first header of this name.
+    /// Value of the first header with this name.
     pub fn header<'a>(&self, bytes: &'a [u8], name: &str) -> Option<&'a [u8]> {
         let found =
             self.headers.iter().find(|(n, _)| bytes[n.clone()].eq_ignore_ascii_case(name.as_bytes()))?;
         Some(bytes[found.1.clone()].trim_ascii())
     }
 
-    /// Value of a header that may stand only once, where it does.
-    pub fn only<'a>(&self, bytes: &'a [u8], name: &str) -> Result<Option<&'a [u8]>, HttpError> {
+    /// Value of a header that must not be repeated; an error if it is.
+    pub fn unique_header<'a>(&self, bytes: &'a [u8], name: &str) -> Result<Option<&'a [u8]>, HttpError> {
         let named =
             |(n, _): &&(Range<usize>, Range<usize>)| bytes[n.clone()].eq_ignore_ascii_case(name.as_bytes());
         match self.headers.iter().filter(named).count() {
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Copies the headers of these names, and no others: what one side makes of an unknown header is not known.
+    /// Copies the headers with these names. No others are copied, as it is unknown what they mean to the other side.
     pub fn copy_headers(&self, bytes: &[u8], names: &[&str], to: &mut Vec<u8>) {
         for (name, value) in &self.headers {
             let name = &bytes[name.clone()];
@@ -217,28 +217,35 @@
     }
 }
 
-/// Gathers a body as its bytes come in.
+/// Reads a body incrementally.
 #[derive(Debug)]
-pub struct Body {
+pub struct BodyReader {
     framing: Framing,
-    most: usize,
-    /// What has been gathered.
+    max_length: usize,
+    /// The part of the body read so far, without chunk framing.
     pub bytes: Vec<u8>,
-    /// Left of the chunk being read; nothing between chunks.
-    chunk: Option<usize>,
-    /// The last chunk has come; trailers follow.
-    trailers: bool,
-    trailing: usize,
+    /// Bytes left of the current chunk; `None` between chunks.
+    chunk_left: Option<usize>,
+    /// Whether the last chunk has been read, and trailers follow.
+    in_trailers: bool,
+    trailers_length: usize,
 }
 
-impl Body {
-    /// A body of this framing, and of so many bytes at most.
-    pub fn new(framing: Framing, most: usize) -> Self {
-        Body { framing, most, bytes: Vec::new(), chunk: None, trailers: false, trailing: 0 }
+impl BodyReader {
+    /// Starts a body with this framing and of at most `max_length` bytes.
+    pub fn new(framing: Framing, max_length: usize) -> Self {
+        BodyReader {
+            framing,
+            max_length,
+            bytes: Vec::new(),
+            chunk_left: None,
+            in_trailers: false,
+            trailers_length: 0,
+        }
     }
 
-    /// Takes from the front of `from` what belongs to the body; true once it is whole.
-    pub fn take(&mut self, from: &mut BytesMut) -> Result<bool, HttpError> {
+    /// Removes the bytes of the body from the front of `from`; true once the body is complete.
+    pub fn consume(&mut self, from: &mut BytesMut) -> Result<bool, HttpError> {
         match self.framing {
             Framing::Length(length) => {
                 let part = from.len().min(length - self.bytes.len());
@@ -246,35 +253,31 @@
                 from.advance(part);
                 Ok(self.bytes.len() == length)
             }
-            // Its end shows on the connection only.
+            // Its end is not in the data; the caller reads such a body to the close of the connection.
             Framing::UntilClose => Err(HttpError::Malformed),
-            Framing::Chunked => self.take_chunks(from),
+            Framing::Chunked => self.consume_chunks(from),
         }
     }
 
-    fn take_chunks(&mut self, from: &mut BytesMut) -> Result<bool, HttpError> {
+    fn consume_chunks(&mut self, from: &mut BytesMut) -> Result<bool, HttpError> {
         loop {
-            if self.trailers {
+            if self.in_trailers {
                 let Some(end) = from.windows(2).position(|w| w == b"\r\n") else {
-                    return if from.len() > CHUNK_LINE_MOST {
-                        Err(HttpError::HeadTooLong)
-                    } else {
-                        Ok(false)
-                    };
+                    return if from.len() > MAX_CHUNK_LINE { Err(HttpError::HeadTooLong) } else { Ok(false) };
                 };
                 from.advance(end + 2);
-                self.trailing += end + 2;
-                if self.trailing > CHUNK_LINE_MOST {
+                self.trailers_length += end + 2;
+                if self.trailers_length > MAX_CHUNK_LINE {
                     return Err(HttpError::HeadTooLong);
                 }
                 if end == 0 {
                     return Ok(true);
                 }
-            } else if let Some(left) = self.chunk {
+            } else if let Some(left) = self.chunk_left {
                 let part = from.len().min(left);
                 self.bytes.extend_from_slice(&from[..part]);
                 from.advance(part);
-                self.chunk = Some(left - part);
+                self.chunk_left = Some(left - part);
                 if left > part || from.len() < 2 {
                     return Ok(false);
                 }
@@ -282,19 +285,19 @@
                     return Err(HttpError::Malformed);
                 }
                 from.advance(2);
-                self.chunk = None;
+                self.chunk_left = None;
             } else {
                 match httparse::parse_chunk_size(from) {
                     Ok(httparse::Status::Complete((len, size))) => {
                         let size = usize::try_from(size).map_err(|_| HttpError::BodyTooLong)?;
-                        if size > self.most - self.bytes.len() {
+                        if size > self.max_length - self.bytes.len() {
                             return Err(HttpError::BodyTooLong);
                         }
                         from.advance(len);
-                        self.trailers = size == 0;
-                        self.chunk = (size > 0).then_some(size);
+                        self.in_trailers = size == 0;
+                        self.chunk_left = (size > 0).then_some(size);
                     }
-                    Ok(httparse::Status::Partial) if from.len() <= CHUNK_LINE_MOST => return Ok(false),
+                    Ok(httparse::Status::Partial) if from.len() <= MAX_CHUNK_LINE => return Ok(false),
                     _ => return Err(HttpError::Malformed),
                 }
             }
@@ -302,7 +305,7 @@
     }
 }
 
-/// Whether bytes hold what reads as the first line of an answer.
+/// Whether bytes contain what looks like the status line of a response.
 pub fn contains_status_line(bytes: &[u8]) -> bool {
     const VERSION: &[u8] = b"HTTP/1.";
     const DIGITS: Range<usize> = 9..12;
@@ -311,8 +314,8 @@
     })
 }
 
-/// Writes a head and a body as one message.
-pub fn write_answer(to: &mut Vec<u8>, status: u16, headers: &[u8], close: bool, body: &[u8]) {
+/// Appends a response with its head and body to `to`.
+pub fn write_response(to: &mut Vec<u8>, status: u16, headers: &[u8], close: bool, body: &[u8]) {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
--- a/limeway/src/network/loop_lag.rs
+++ b/limeway/src/network/loop_lag.rs
@@ -1,12 +1,12 @@
-//! How long what has just been read may have waited for the one thread.
+//! An upper bound on the time that input just read had waited for the process's only thread.
 //!
-//! The system tells nothing of when a connection or its bytes came. But they were not there when the runtime last
-//! looked, at the end of the park before the present one: so they came in the turn after that, or in the park, from
-//! which they would have woken it. A park that lasts longer than the heartbeat lets it was no wait: the process was
-//! stopped, or the machine busy.
+//! The system does not tell when a connection or its data arrived. But it had not arrived when the runtime last polled
+//! the sockets, at the end of the thread's previous park. So it arrived either in the turn of the event loop that
+//! followed, or during the present park, which it would have ended at once. A park that lasts longer than the heartbeat
+//! allows was no idle wait: the process was stopped, or the machine was busy. The excess counts as waiting time.
 //!
-//! While there is always something to do the runtime looks without a park, and tells nobody. Then a task that has
-//! yielded runs next after such a look, so one is let do so once a turn is long.
+//! While there are always tasks to run, the runtime polls the sockets without a park, and no hook is called. A task that
+//! yields runs again right after such a poll, so in a long turn a task yields in order to record the poll.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -15,36 +15,36 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// Time between two timers that do nothing but end a park.
+/// A timer ends each park after this time at the latest.
 const HEARTBEAT: Duration = Duration::from_millis(250);
-/// Length of a turn, in microseconds, from which on it is asked when the runtime looks next: far above a usual turn.
-const LONG_TURN: u64 = 5_000;
+/// Length of a turn, in microseconds, from which on the next poll is recorded by a task: far above a usual turn.
+const LONG_TURN_US: u64 = 5_000;
 
-/// What is known of the turns of the runtime's loop. The runtime's hooks demand that it may be shared by threads.
+/// Times of the event loop's turns and parks. Atomic, as the runtime requires that its hooks can be shared by threads.
 #[derive(Debug)]
 pub struct LoopLag {
     start: Instant,
-    /// When the last park began, in microseconds since the start.
-    parked: AtomicU64,
-    /// When the runtime last looked for what has come: at the end of that park, or later without one.
-    looked: AtomicU64,
-    /// How much longer that park was than the heartbeat lets it, in microseconds.
-    stopped: AtomicU64,
-    /// Bound on the wait of what came up to that look, in microseconds.
-    before: AtomicU64,
-    /// The present turn is long.
+    /// When the last park began, in microseconds since `start`.
+    parked_at: AtomicU64,
+    /// When the runtime last polled the sockets: at the end of that park, or later without one.
+    polled_at: AtomicU64,
+    /// Time by which that park exceeded the heartbeat, in microseconds.
+    park_excess: AtomicU64,
+    /// Upper bound on the time that input found by that poll had waited until then, in microseconds.
+    wait_before_poll: AtomicU64,
+    /// Notified when the present turn is long.
     long_turn: Notify,
 }
 
 impl LoopLag {
-    /// Nothing is known yet.
+    /// Starts with no turn recorded.
     pub fn new() -> Arc<Self> {
         Arc::new(LoopLag {
             start: Instant::now(),
-            parked: AtomicU64::new(0),
-            looked: AtomicU64::new(0),
-            stopped: AtomicU64::new(0),
-            before: AtomicU64::new(0),
+            parked_at: AtomicU64::new(0),
+            polled_at: AtomicU64::new(0),
+            park_excess: AtomicU64::new(0),
+            wait_before_poll: AtomicU64::new(0),
             long_turn: Notify::new(),
         })
     }
@@ -53,45 +53,47 @@
         self.start.elapsed().as_micros() as u64
     }
 
-    /// The thread is about to wait.
+    /// To be called when the thread is about to park.
     pub fn on_park(&self) {
-        self.parked.store(self.now(), Ordering::Relaxed);
+        self.parked_at.store(self.now(), Ordering::Relaxed);
     }
 
-    /// The thread goes on.
+    /// To be called when the thread resumes after a park.
     pub fn on_unpark(&self) {
-        let (parked, looked) = (self.parked.load(Ordering::Relaxed), self.looked.load(Ordering::Relaxed));
+        let (parked, polled) =
+            (self.parked_at.load(Ordering::Relaxed), self.polled_at.load(Ordering::Relaxed));
         let now = self.now();
-        let turn = parked.saturating_sub(looked);
-        let stopped = now.saturating_sub(parked).saturating_sub(HEARTBEAT.as_micros() as u64);
-        // The signal that lets a stopped process go on also ends its park, with nothing read: that is up to the next.
-        let stopped_before = self.stopped.swap(stopped, Ordering::Relaxed);
-        self.before.store(stopped_before + turn + stopped, Ordering::Relaxed);
-        self.looked.store(now, Ordering::Relaxed);
+        let turn = parked.saturating_sub(polled);
+        let excess = now.saturating_sub(parked).saturating_sub(HEARTBEAT.as_micros() as u64);
+        // The signal that resumes a stopped process also ends its park, before any input is read. The input follows
+        // after the next park, so the excess counts for that one too.
+        let previous_excess = self.park_excess.swap(excess, Ordering::Relaxed);
+        self.wait_before_poll.store(previous_excess + turn + excess, Ordering::Relaxed);
+        self.polled_at.store(now, Ordering::Relaxed);
     }
 
-    /// The runtime has looked without a park.
-    fn on_look(&self) {
+    /// Records a poll without a park.
+    fn on_poll(&self) {
         let now = self.now();
-        let looked = self.looked.swap(now, Ordering::Relaxed);
-        self.before.store(now.saturating_sub(looked), Ordering::Relaxed);
+        let polled = self.polled_at.swap(now, Ordering::Relaxed);
+        self.wait_before_poll.store(now.saturating_sub(polled), Ordering::Relaxed);
     }
 
-    /// Bound on the time that what is read now has waited.
-    pub fn bound(&self) -> Duration {
-        let turn = self.now().saturating_sub(self.looked.load(Ordering::Relaxed));
-        if turn > LONG_TURN {
+    /// Upper bound on the time that input read now has waited.
+    pub fn max_wait(&self) -> Duration {
+        let turn = self.now().saturating_sub(self.polled_at.load(Ordering::Relaxed));
+        if turn > LONG_TURN_US {
             self.long_turn.notify_one();
         }
-        Duration::from_micros(self.before.load(Ordering::Relaxed) + turn)
+        Duration::from_micros(self.wait_before_poll.load(Ordering::Relaxed) + turn)
     }
 
-    /// Ends parks in time and follows long turns, for ever.
-    pub async fn watch(self: Arc<Self>) {
+    /// Ends parks at the heartbeat and records polls in long turns; never returns.
+    pub async fn run(self: Arc<Self>) {
         loop {
             if timeout(HEARTBEAT, self.long_turn.notified()).await.is_ok() {
                 yield_now().await;
-                self.on_look();
+                self.on_poll();
             }
         }
     }
--- a/limeway/src/network/network_event.rs
+++ b/limeway/src/network/network_event.rs
@@ -1,9 +1,10 @@
-//! What the parts that talk to the network report: commands go down to them as calls, events come up through a sink.
+//! Events that attempts, counter calls and the peer socket report. Commands to them are calls; events come back through
+//! a sink.
 
 use pondgw::{Load, Micros, RequestId, Status};
 use std::rc::Rc;
 
-/// Something that has happened on the network.
+/// An event on the network.
 pub enum NetworkEvent {
     /// An attempt has ended; its connection is closed or back in its pool.
     AttemptEnded {
@@ -11,48 +12,48 @@
         id: RequestId,
         /// Number of the attempt.
         number: u32,
-        /// How it ended.
+        /// Its result.
         result: AttemptResult,
     },
     /// A call to the counter has ended.
     Counted {
-        /// The number that was counted on.
+        /// Name of the count.
         name: u64,
         /// How it ended.
         status: Status,
-        /// The total, where it ended well.
+        /// The total after the call; only with `Status::Ok`.
         total: f64,
-        /// Time from its start, in microseconds.
+        /// Time since the start of the call.
         latency: Micros,
     },
-    /// Another limiter has sent a message.
+    /// A message from another limiter has arrived.
     PeerMessage {
-        /// Its number.
+        /// Number of that limiter.
         from: u32,
         /// The message.
         data: Vec<u8>,
     },
 }
 
-/// Where events go; each is taken in before the call returns.
+/// Receives events; each is handled before the call returns.
 pub type EventSink = Rc<dyn Fn(NetworkEvent)>;
 
-/// A server's 200: headers worth passing on, and the body.
+/// A server's 200 response: the headers that are passed on, and the body.
 #[derive(Debug)]
 pub struct ServedResponse {
-    /// Whole header lines.
+    /// Complete header lines.
     pub headers: Vec<u8>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 pub struct AttemptResult {
-    /// Its outcome.
+    /// How it ended.
     pub status: Status,
-    /// The answer that goes to the client.
+    /// The response for the client, if the attempt succeeded.
     pub response: Option<ServedResponse>,
-    /// What the server said of its load.
+    /// The server's load report.
     pub load: Load,
 }
 
--- a/limeway/src/network/stream_io.rs
+++ b/limeway/src/network/stream_io.rs
@@ -1,31 +1,31 @@
-//! Reads and writes on connections: the one place for each, for clients, servers, the counter and discovery.
+//! Reads and writes that are repeated after an interruption by a signal, for all connections.
 
 use bytes::BytesMut;
 use std::io::{self, ErrorKind};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Reads what has come, and adds it to `to`; 0 bytes at the end of the connection. A read that is interrupted by a
-/// signal is made again. Nothing is lost where the future is dropped.
+/// Appends the input that has arrived to `to`, and returns its length; 0 at the end of input. A read that a signal
+/// interrupts is repeated. Dropping the future loses no input.
 pub async fn read_some<R: AsyncRead + Unpin>(from: &mut R, to: &mut BytesMut) -> io::Result<usize> {
     loop {
         match from.read_buf(to).await {
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            read => return read,
+            result => return result,
         }
     }
 }
 
-/// Writes all bytes, in as many pieces as the system takes them. The library makes an interrupted write again.
-pub async fn write_whole<W: AsyncWrite + Unpin>(to: &mut W, bytes: &[u8]) -> io::Result<()> {
+/// Writes all bytes, in as many pieces as the system takes them in. The library repeats a write that a signal interrupts.
+pub async fn write_all<W: AsyncWrite + Unpin>(to: &mut W, bytes: &[u8]) -> io::Result<()> {
     to.write_all(bytes).await
 }
 
-/// Makes a system call, again if it is interrupted by a signal.
-pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+/// Makes a system call, and repeats it if a signal interrupts it.
+pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            end => return end,
+            result => return result,
         }
     }
 }
--- a/limeway/src/signals.rs
+++ b/limeway/src/signals.rs
@@ -1,7 +1,7 @@
-//! Signals: the handler of each sets a flag and writes to a pipe, which wakes the runtime.
+//! Signals. The handler of each sets a flag, and writes to a pipe to wake the runtime.
 //!
-//! The flags are what counts. A write to the pipe may fail and a read from it may be interrupted, so the flags are also
-//! looked at from time to time.
+//! The flags alone decide which signals have arrived. As the write to the pipe may fail and a read from it may be
+//! interrupted, the flags are also checked at an interval.
 
 use crate::network::stream_io::read_some;
 use bytes::BytesMut;
@@ -13,58 +13,59 @@
 use tokio::net::UnixStream;
 use tokio::time::timeout;
 
-/// Time between two looks at the flags where the pipe tells of nothing.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// Interval between checks of the flags while nothing arrives through the pipe.
+const FLAG_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What a signal asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Request {
-    /// SIGHUP: take in the configuration anew.
+pub enum SignalRequest {
+    /// SIGHUP: read the configuration file again.
     Reload,
-    /// SIGTERM or SIGINT: end once all is answered.
-    End,
+    /// SIGTERM or SIGINT: exit once all requests are answered.
+    Shutdown,
 }
 
-/// Signals that have come and have not been heeded.
+/// Signals that have arrived and are not handled yet.
 pub struct Signals {
     reload: Arc<AtomicBool>,
-    end: Arc<AtomicBool>,
-    wake: UnixStream,
-    read: BytesMut,
+    shutdown: Arc<AtomicBool>,
+    pipe: UnixStream,
+    buffer: BytesMut,
 }
 
 impl Signals {
-    /// Listens for signals from now on. To be called within the runtime.
+    /// Installs the signal handlers. To be called within the runtime.
     ///
     /// # Errors
-    /// Where the system gives no pipe or takes no handler.
+    /// If the pipe cannot be created or a handler cannot be installed.
     pub fn listen() -> io::Result<Self> {
         let (reader, writer) = Pipe::pair()?;
         reader.set_nonblocking(true)?;
-        let (reload, end) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
-        for (signal, flag) in [(libc::SIGHUP, &reload), (libc::SIGTERM, &end), (libc::SIGINT, &end)] {
+        let (reload, shutdown) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
+        for (signal, flag) in [(libc::SIGHUP, &reload), (libc::SIGTERM, &shutdown), (libc::SIGINT, &shutdown)]
+        {
             signal_hook::flag::register(signal, flag.clone())?;
             signal_hook::low_level::pipe::register(signal, writer.try_clone()?)?;
         }
-        Ok(Self::over(reload, end, UnixStream::from_std(reader)?))
+        Ok(Self::from_parts(reload, shutdown, UnixStream::from_std(reader)?))
     }
 
-    fn over(reload: Arc<AtomicBool>, end: Arc<AtomicBool>, wake: UnixStream) -> Self {
-        Signals { reload, end, wake, read: BytesMut::new() }
+    fn from_parts(reload: Arc<AtomicBool>, shutdown: Arc<AtomicBool>, pipe: UnixStream) -> Self {
+        Signals { reload, shutdown, pipe, buffer: BytesMut::new() }
     }
 
-    /// Waits for the next signal. Signals of one kind that come together are one.
-    pub async fn next(&mut self) -> Request {
+    /// Waits for the next signal. Several signals of one kind that arrive together count as one.
+    pub async fn next(&mut self) -> SignalRequest {
         loop {
             if self.reload.swap(false, Ordering::SeqCst) {
-                return Request::Reload;
+                return SignalRequest::Reload;
             }
-            if self.end.swap(false, Ordering::SeqCst) {
-                return Request::End;
+            if self.shutdown.swap(false, Ordering::SeqCst) {
+                return SignalRequest::Shutdown;
             }
-            self.read.clear();
-            // However the wait ends, the flags tell what came.
-            let _ = timeout(LOOK_EVERY, read_some(&mut self.wake, &mut self.read)).await;
+            self.buffer.clear();
+            // Whether a read succeeds, fails or times out, the flags are checked next.
+            let _ = timeout(FLAG_CHECK_INTERVAL, read_some(&mut self.pipe, &mut self.buffer)).await;
         }
     }
 }
--- a/limeway/src/start_error.rs
+++ b/limeway/src/start_error.rs
@@ -1,22 +1,22 @@
-//! Why the limiter cannot start, in words that say what an operator can do.
+//! Errors that prevent the limiter from starting, with what the operator can do about them.
 
 use crate::config::ConfigError;
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the limiter cannot start.
+/// An error that prevents the limiter from starting.
 #[derive(Debug)]
 pub enum StartError {
-    /// The runtime cannot be built.
+    /// The runtime cannot be created.
     Runtime(io::Error),
-    /// Signals cannot be heard.
+    /// The signal handlers cannot be installed.
     Signals(io::Error),
-    /// The configuration cannot be used.
+    /// The configuration is invalid.
     Config(ConfigError),
-    /// Clients cannot be listened for.
+    /// The listening socket for clients cannot be opened.
     Listen(SocketAddr, io::Error),
-    /// Other limiters cannot be listened for.
+    /// The socket for datagrams of other limiters cannot be opened.
     ListenForPeers(SocketAddr, io::Error),
 }
 
@@ -24,22 +24,28 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StartError::Runtime(e) => {
-                write!(f, "runtime: {e}; allow the process the descriptors that `limits.sockets` names")
+                write!(
+                    f,
+                    "runtime: {e}; allow the process as many open descriptors as `limits.sockets` states"
+                )
             }
             StartError::Signals(e) => {
-                write!(f, "signals: {e}; allow the process the descriptors that `limits.sockets` names")
+                write!(
+                    f,
+                    "signals: {e}; allow the process as many open descriptors as `limits.sockets` states"
+                )
             }
             StartError::Config(e) => write!(f, "{e}"),
             StartError::Listen(address, e) => {
                 write!(
                     f,
-                    "listen: {address}: {e}; name an address of this machine that no process listens at"
+                    "listen: {address}: {e}; choose an address of this machine on which no other process listens"
                 )
             }
             StartError::ListenForPeers(address, e) => {
                 write!(
                     f,
-                    "peer_listen: {address}: {e}; name an address of this machine that no process has bound"
+                    "peer_listen: {address}: {e}; choose an address of this machine that no other process has bound"
                 )
             }
         }
--- a/limeway/tests/unit/client_table.rs
+++ b/limeway/tests/unit/client_table.rs
@@ -1,85 +1,88 @@
-//! Tests of the marks and of who goes to make room.
+//! Unit tests of the thresholds and of the choice of connections to evict.
 
 use super::*;
 
-/// A connection in the table, as the listener and its task hold it.
+/// A connection in the table, with what the listener and the connection's task hold for it.
 struct Open {
-    place: Option<Place>,
+    slot: Option<EvictionSlot>,
     _held: CountGuard,
 }
 
 fn open(table: &Rc<ClientTable>, phase: Option<Phase>) -> Open {
-    Open { _held: table.accept(), place: phase.map(|phase| Place::take(table, phase)) }
+    Open { _held: table.accept(), slot: phase.map(|phase| EvictionSlot::register(table, phase)) }
+}
+
+fn is_evicted(open: &Open) -> bool {
+    open.slot.as_ref().is_some_and(EvictionSlot::is_evicted)
 }
 
 fn table(total: usize) -> Rc<ClientTable> {
-    ClientTable::new(DescriptorBudget::divide(total))
+    ClientTable::new(DescriptorBudget::new(total))
 }
 
-fn told_to_go(all: &[Open]) -> usize {
-    all.iter().filter(|open| open.place.as_ref().is_some_and(Place::is_evicted)).count()
+fn evicted(all: &[Open]) -> usize {
+    all.iter().filter(|open| is_evicted(open)).count()
 }
 
-/// Guards against marks that coincide: with none between "ends with its answer" and "full", room is made for one
-/// connection at a time, and the others wait in the system's queue.
+/// Guards against thresholds that coincide: with no room between "closed after its first response" and "full", one
+/// connection is evicted at a time while the others wait in the listen queue.
 #[test]
-fn there_is_always_room_between_the_marks() {
+fn there_is_room_between_the_thresholds_at_every_size() {
     for limit in (20..2_000).chain([20_000, 65_000]) {
         for requests in [limit / 3, limit / 2, limit] {
-            let marks = Marks::new(limit, requests);
-            assert!(marks.kept < marks.evict || marks.admitted - marks.kept < EVICT_PART, "{marks:?}");
-            assert!(marks.evict < marks.admitted && marks.admitted < marks.limit, "{marks:?}");
-            assert!(marks.limit - marks.kept >= limit / 4, "{marks:?}");
+            let t = Thresholds::new(limit, requests);
+            assert!(t.keep_alive < t.evict || t.reject - t.keep_alive < EVICT_DIVISOR, "{t:?}");
+            assert!(t.evict < t.reject && t.reject < t.limit, "{t:?}");
+            assert!(t.limit - t.keep_alive >= limit / 4, "{t:?}");
         }
     }
 }
 
-/// Guards against room that is made one by one.
+/// Guards against evicting one connection for each new one.
 #[test]
-fn connections_without_a_request_go_in_a_batch_and_ahead_of_need() {
+fn connections_without_a_request_are_evicted_in_a_batch_before_the_room_is_needed() {
     let table = table(256);
-    let marks = table.marks();
-    let all: Vec<Open> = (0..=marks.evict).map(|_| open(&table, Some(Phase::Silent))).collect();
+    let thresholds = table.thresholds();
+    let all: Vec<Open> = (0..=thresholds.evict).map(|_| open(&table, Some(Phase::New))).collect();
     table.make_room();
-    assert_eq!(told_to_go(&all), 0, "all have just come");
-    std::thread::sleep(ROOM_AFTER);
+    assert_eq!(evicted(&all), 0, "all have just been accepted");
+    std::thread::sleep(MIN_EVICTION_AGE);
     table.make_room();
-    assert_eq!(told_to_go(&all), all.len() - marks.kept);
-    assert!(!table.turns_away() && !table.is_full());
+    assert_eq!(evicted(&all), all.len() - thresholds.keep_alive);
+    assert!(!table.rejects_new() && !table.is_full());
     table.make_room();
-    assert_eq!(told_to_go(&all), all.len() - marks.kept, "those that are told to go count as gone");
+    assert_eq!(evicted(&all), all.len() - thresholds.keep_alive, "evicted connections no longer count");
     drop(all);
-    assert_eq!((table.open(), table.leaving.get()), (0, 0));
+    assert_eq!((table.open(), table.evicted.get()), (0, 0));
 }
 
-/// Guards against a request that is given up for a connection that has none.
+/// Guards against evicting a connection with a request while there is one without.
 #[test]
-fn a_connection_with_a_request_never_goes_and_one_with_a_part_goes_last() {
+fn a_connection_with_a_request_is_never_evicted_and_one_with_a_partial_request_last() {
     let table = table(64);
-    let busy: Vec<Open> = (0..table.marks().kept).map(|_| open(&table, None)).collect();
-    let phases = [Phase::Partial, Phase::Reused, Phase::AskedOnce];
+    let busy: Vec<Open> = (0..table.thresholds().keep_alive).map(|_| open(&table, None)).collect();
+    let phases = [Phase::PartialRequest, Phase::Reused, Phase::AnsweredOnce];
     let mut others: Vec<(Phase, Open)> = Vec::new();
-    while !table.turns_away() {
+    while !table.rejects_new() {
         let phase = phases[others.len() % phases.len()];
         others.push((phase, open(&table, Some(phase))));
     }
-    std::thread::sleep(ROOM_AFTER);
-    let mut gone = Vec::new();
-    let mut more = Vec::new();
+    std::thread::sleep(MIN_EVICTION_AGE);
+    let mut order = Vec::new();
+    let mut new = Vec::new();
     while !others.is_empty() {
         table.make_room();
-        let (went, stay) =
-            others.into_iter().partition(|(_, open)| open.place.as_ref().is_some_and(Place::is_evicted));
-        others = stay;
-        let went: Vec<(Phase, Open)> = went;
-        assert!(!went.is_empty(), "all is full, and {} more could go", others.len());
-        gone.extend(went.iter().map(|(phase, _)| *phase));
-        // A request comes for each that has gone.
-        more.extend(went.iter().map(|_| open(&table, None)));
+        let (gone, left): (Vec<_>, Vec<_>) = others.into_iter().partition(|(_, open)| is_evicted(open));
+        others = left;
+        assert!(!gone.is_empty(), "the table is full, and {} more could be evicted", others.len());
+        order.extend(gone.iter().map(|(phase, _)| *phase));
+        // For each evicted connection, a new one arrives with a request.
+        new.extend(gone.iter().map(|_| open(&table, None)));
     }
-    let parts = gone.iter().position(|phase| *phase == Phase::Partial).expect("some had a part");
-    assert!(gone[parts..].iter().all(|phase| *phase == Phase::Partial), "{gone:?}");
+    let partial = order.iter().position(|phase| *phase == Phase::PartialRequest);
+    let partial = partial.expect("some had a partial request");
+    assert!(order[partial..].iter().all(|phase| *phase == Phase::PartialRequest), "{order:?}");
     table.make_room();
-    assert_eq!(told_to_go(&busy), 0);
-    assert!(table.turns_away(), "nobody is left to go");
+    assert_eq!(evicted(&busy), 0);
+    assert!(table.rejects_new(), "no connection is left to evict");
 }
--- a/limeway/tests/unit/stream_io.rs
+++ b/limeway/tests/unit/stream_io.rs
@@ -1,4 +1,4 @@
-//! Tests of reads and writes with a connection that is interrupted again and again, and moves a byte at a time.
+//! Unit tests with a stream on which every other call is interrupted and each of the rest transfers one byte.
 
 use super::*;
 use std::io::{Error, ErrorKind};
@@ -6,15 +6,15 @@
 use std::task::{Context, Poll};
 use tokio::io::ReadBuf;
 
-/// Every other call is interrupted; each of the rest moves one byte.
+/// Every other call fails with `ErrorKind::Interrupted`; each of the rest transfers one byte.
 #[derive(Default)]
-struct Interrupted {
+struct InterruptedStream {
     calls: usize,
     to_read: Vec<u8>,
     written: Vec<u8>,
 }
 
-impl Interrupted {
+impl InterruptedStream {
     fn next(&mut self) -> io::Result<()> {
         self.calls += 1;
         if self.calls % 2 == 1 {
@@ -24,7 +24,7 @@
     }
 }
 
-impl AsyncRead for Interrupted {
+impl AsyncRead for InterruptedStream {
     fn poll_read(mut self: Pin<&mut Self>, _: &mut Context, to: &mut ReadBuf) -> Poll<io::Result<()>> {
         self.next()?;
         if !self.to_read.is_empty() {
@@ -34,7 +34,7 @@
     }
 }
 
-impl AsyncWrite for Interrupted {
+impl AsyncWrite for InterruptedStream {
     fn poll_write(mut self: Pin<&mut Self>, _: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.next()?;
         self.written.push(bytes[0]);
@@ -53,22 +53,22 @@
 const TEXT: &[u8] = b"GET / HTTP/1.1\r\n\r\n";
 
 #[tokio::test]
-async fn a_read_that_is_interrupted_is_made_again() {
-    let mut stream = Interrupted { to_read: TEXT.to_vec(), ..Interrupted::default() };
+async fn an_interrupted_read_is_repeated() {
+    let mut stream = InterruptedStream { to_read: TEXT.to_vec(), ..InterruptedStream::default() };
     let mut buffer = BytesMut::new();
-    while read_some(&mut stream, &mut buffer).await.expect("an interruption is no end") > 0 {}
+    while read_some(&mut stream, &mut buffer).await.expect("an interruption is not an error") > 0 {}
     assert_eq!(buffer, TEXT);
 }
 
 #[tokio::test]
-async fn a_write_that_is_interrupted_goes_on_behind_what_was_written() {
-    let mut stream = Interrupted::default();
-    write_whole(&mut stream, TEXT).await.expect("an interruption is no end");
+async fn an_interrupted_write_continues_after_the_bytes_already_written() {
+    let mut stream = InterruptedStream::default();
+    write_all(&mut stream, TEXT).await.expect("an interruption is not an error");
     assert_eq!(stream.written, TEXT);
 }
 
 #[test]
-fn a_system_call_that_is_interrupted_is_made_again() {
-    let mut stream = Interrupted::default();
-    assert!(uninterrupted(|| stream.next()).is_ok());
+fn an_interrupted_system_call_is_repeated() {
+    let mut stream = InterruptedStream::default();
+    assert!(retry_interrupted(|| stream.next()).is_ok());
 }
