--- a/limeway/src/clients/client_connection.rs
+++ b/limeway/src/clients/client_connection.rs
@@ -8,7 +8,7 @@
 use crate::network::stream_io::{read_some, retry_interrupted, write_all};
 use crate::upstream::attempts::ForwardedRequest;
 use bytes::BytesMut;
-use pondgw::{Demand, Micros};
+use pondgw::{ClientRequest, Micros};
 use std::io::{self, ErrorKind, Read};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -324,7 +324,7 @@
         core: &Rc<Core>,
         table: &ClientTable,
         client_id: Vec<u8>,
-        (mut demand, forwarded): (Demand, ForwardedRequest),
+        (mut demand, forwarded): (ClientRequest, ForwardedRequest),
         last: bool,
     ) -> bool {
         // The client's deadline counts from when it sent the request.
@@ -333,8 +333,8 @@
         if !self.drain_socket(core.lag.max_wait()) {
             return self.write_rejection(core, &Rejection::CLIENT_LEFT, true).await;
         }
-        demand.left = demand.left.saturating_sub(waited);
-        if demand.left == 0 {
+        demand.time_left = demand.time_left.saturating_sub(waited);
+        if demand.time_left == 0 {
             let close = self.closes_after_response(core, table, last);
             return self.write_rejection(core, &Rejection::DEADLINE_PASSED, close).await;
         }
@@ -414,7 +414,7 @@
     let allow = &core.config.setup.settings.permissions;
     let wait = wait.min(allow.max_retry_after);
     let mut header = Vec::new();
-    if wait > 0 && allow.retry_after {
+    if wait > 0 && allow.send_retry_after {
         header.extend_from_slice(format!("Retry-After: {:.3}\r\n", wait as f64 / 1e6).as_bytes());
     }
     header
--- a/limeway/src/clients/request.rs
+++ b/limeway/src/clients/request.rs
@@ -2,7 +2,7 @@
 
 use crate::network::http::{Framing, Head, HttpError};
 use crate::upstream::attempts::ForwardedRequest;
-use pondgw::{Demand, Effect, Setup};
+use pondgw::{ClientRequest, HostSettings, Idempotency};
 
 /// Largest Req-Deadline-Ms that is accepted.
 const MAX_DEADLINE_MS: u64 = 600_000;
@@ -75,7 +75,7 @@
     /// A health check: is this limiter ready?
     Health,
     /// A request for the gateway: the client's own id of it, what the gateway needs, and what goes to servers.
-    Request(Vec<u8>, Demand, ForwardedRequest),
+    Request(Vec<u8>, ClientRequest, ForwardedRequest),
 }
 
 /// A header value as text; `None` if it is empty or not UTF-8.
@@ -84,7 +84,12 @@
 }
 
 /// Parses and validates a request. What passes can go to the gateway and to servers.
-pub fn parse(setup: &Setup, head: &Head, bytes: &[u8], body: Vec<u8>) -> Result<ClientMessage, Rejection> {
+pub fn parse(
+    setup: &HostSettings,
+    head: &Head,
+    bytes: &[u8],
+    body: Vec<u8>,
+) -> Result<ClientMessage, Rejection> {
     let method = &bytes[head.method.clone()];
     let target =
         text(Some(&bytes[head.target.clone()])).ok_or(Rejection::bad_request("malformed target\n"))?;
@@ -114,16 +119,16 @@
     if header("req-kind")? != Some(kind.as_bytes()) {
         return Err(Rejection::bad_request("Req-Kind is missing or not the path's class\n"));
     }
-    let effect = setup.settings.classes[class].effect;
-    let expected_method: &[u8] = if effect == Effect::Safe { b"GET" } else { b"POST" };
+    let idempotency = setup.settings.classes[class].idempotency;
+    let expected_method: &[u8] = if idempotency == Idempotency::Idempotent { b"GET" } else { b"POST" };
     if method != expected_method {
         return Err(Rejection { status: 405, body: "not the method of this class\n" });
     }
-    if effect == Effect::Safe && head.framing != Framing::Length(0) {
+    if idempotency == Idempotency::Idempotent && head.framing != Framing::Length(0) {
         return Err(Rejection::bad_request("a body where there is none\n"));
     }
     let key = header("idempotency-key")?;
-    if effect == Effect::Keyed && key.is_none_or(<[u8]>::is_empty) {
+    if idempotency == Idempotency::Keyed && key.is_none_or(<[u8]>::is_empty) {
         return Err(Rejection::bad_request("Idempotency-Key is missing\n"));
     }
     let id = header("req-id")?.filter(|id| (1..=MAX_ID_LENGTH).contains(&id.len()));
@@ -143,16 +148,16 @@
     forwarded.extend_from_slice(target.as_bytes());
     forwarded.extend_from_slice(b" HTTP/1.1\r\n");
     head.copy_headers(bytes, &FORWARDED_HEADERS, &mut forwarded);
-    let demand = Demand {
+    let demand = ClientRequest {
         id: 0,
         class,
         plan,
         // In lower case, as all limiters must use the same name for a customer.
         customer: customer.to_ascii_lowercase(),
-        left: left * 1_000,
+        time_left: left * 1_000,
         units,
-        spread,
-        first,
+        gateways: spread,
+        first_gateway: first,
     };
     Ok(ClientMessage::Request(id.to_vec(), demand, ForwardedRequest { head: forwarded, body }))
 }
@@ -163,7 +168,7 @@
 }
 
 /// Parses Quota-Info: units, spread and the first gateway, each given once and within its bounds.
-fn parse_quota_info(setup: &Setup, info: &str) -> Option<(f64, u32, u32)> {
+fn parse_quota_info(setup: &HostSettings, info: &str) -> Option<(f64, u32, u32)> {
     let (mut units, mut spread, mut first) = (None, None, None);
     for pair in info.split(',') {
         let (name, value) = pair.trim().split_once('=')?;
--- a/limeway/src/config.rs
+++ b/limeway/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery::catalog::ServerList;
 use crate::network::descriptors::MIN_SOCKETS;
-use pondgw::Setup;
+use pondgw::HostSettings;
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
@@ -102,7 +102,7 @@
     /// Servers to start with, until discovery answers.
     pub known_servers: Option<ServerList>,
     /// The settings object.
-    pub setup: Setup,
+    pub setup: HostSettings,
 }
 
 fn parse_address(key: &str, text: Option<&str>) -> Result<SocketAddr, ConfigError> {
@@ -138,10 +138,10 @@
             return Err(ConfigError::new("limits.sockets", format!("is below {MIN_SOCKETS}")));
         }
         let settings = file.settings.ok_or_else(|| ConfigError::new("settings", "is missing"))?;
-        let setup =
-            Setup::read(&settings).map_err(|e| ConfigError::new(&format!("settings.{}", e.key), e.reason))?;
+        let setup = HostSettings::from_json(&settings)
+            .map_err(|e| ConfigError::new(&format!("settings.{}", e.key), e.reason))?;
         validate(&setup)?;
-        let peers = if setup.settings.permissions.peers {
+        let peers = if setup.settings.permissions.peer_messages {
             let listen = parse_address("peer_listen", file.peer_listen.as_deref())?;
             let peers: Result<Vec<_>, _> =
                 file.peers.iter().map(|p| parse_address("peers", Some(p))).collect();
@@ -168,7 +168,7 @@
 }
 
 /// Checks for settings that the adapter may omit but a limiter needs.
-fn validate(setup: &Setup) -> Result<(), ConfigError> {
+fn validate(setup: &HostSettings) -> Result<(), ConfigError> {
     let settings = &setup.settings;
     let error = |key: &str, reason: &str| Err(ConfigError::new(key, reason));
     if settings.classes.is_empty() || setup.classes.iter().any(String::is_empty) {
@@ -177,22 +177,22 @@
     if settings.plans.is_empty() || setup.plans.iter().any(String::is_empty) {
         return error("settings.plans", "is missing, empty or has a plan without a name");
     }
-    if settings.me >= settings.gateways {
+    if settings.gateway_index >= settings.gateways {
         return error("settings.me", "is not below settings.balancers");
     }
     if settings.permissions.max_attempts == 0 {
         return error("settings.permissions.max-attempts", "is missing or zero");
     }
-    if setup.dial_timeout == 0 {
+    if setup.connect_timeout == 0 {
         return error("settings.permissions.dial-timeout", "is missing or zero");
     }
-    if setup.keepalive == 0 {
+    if setup.server_idle_timeout == 0 {
         return error("settings.permissions.keepalive", "is missing or zero");
     }
     if settings.max_units <= 0.0 {
         return error("settings.family-info.max-units", "is missing or zero");
     }
-    if settings.counter.as_ref().is_some_and(|c| c.limit == 0) {
+    if settings.counter.as_ref().is_some_and(|c| c.call_timeout == 0) {
         return error("settings.family-info.count-limit", "is missing or zero");
     }
     Ok(())
--- a/limeway/src/core.rs
+++ b/limeway/src/core.rs
@@ -176,7 +176,7 @@
         sink: EventSink,
     ) -> Self {
         let (clock, log_limiter) = (Rc::new(Clock::new()), Rc::new(LogLimiter::default()));
-        let limit = config.setup.settings.counter.as_ref().map_or(0, |counter| counter.limit);
+        let limit = config.setup.settings.counter.as_ref().map_or(0, |counter| counter.call_timeout);
         let counter = config
             .service_addresses
             .counter
@@ -228,7 +228,7 @@
         if !self.draining.get() || elapsed < SHUTDOWN_FULL_DEADLINE {
             return left;
         }
-        let sigkill = self.config.setup.longest.min(SHUTDOWN_MAX_WAIT) + SHUTDOWN_FULL_DEADLINE;
+        let sigkill = self.config.setup.max_deadline.min(SHUTDOWN_MAX_WAIT) + SHUTDOWN_FULL_DEADLINE;
         left.min(sigkill.saturating_sub(elapsed + SHUTDOWN_MARGIN).max(SHUTDOWN_MARGIN))
     }
 
@@ -255,7 +255,7 @@
             NetworkEvent::Counted { name, status, total, latency } => {
                 self.handle_event(Event::Counted { name, status, total, latency })
             }
-            NetworkEvent::PeerMessage { from, data } => self.handle_event(Event::Peer { from, data }),
+            NetworkEvent::PeerMessage { from, data } => self.handle_event(Event::PeerMessage { from, data }),
         }
     }
 
@@ -294,7 +294,7 @@
                     state.events.push_back(Event::Counted { name, status, total: 0.0, latency: 0 });
                 }
             },
-            Action::Tell { peer, data } => {
+            Action::SendToPeer { peer, data } => {
                 if let Some(peers) = &self.peers {
                     peers.send(peer, &data);
                 }
@@ -314,10 +314,10 @@
                 id,
                 attempt: number as u32,
                 server,
-                status: Status::Moot,
+                status: Status::NotSent,
                 latency: 0,
-                closed,
-                load: Load::default(),
+                request_done: closed,
+                load: LoadReport::default(),
             })
         };
         let Some(open) = state.open.get_mut(&id) else {
@@ -326,7 +326,7 @@
         };
         let number = open.attempts.len();
         let over = open.responder.is_none() || now >= open.deadline;
-        let forbidden_copy = !allow.second_copies && open.attempts.iter().any(|a| a.in_flight);
+        let forbidden_copy = !allow.parallel_attempts && open.attempts.iter().any(|a| a.in_flight);
         if over || forbidden_copy || number >= allow.max_attempts as usize {
             let closed = open.responder.is_none();
             open.attempts.push(Attempt {
@@ -361,7 +361,7 @@
     pub fn submit(
         self: &Rc<Self>,
         client_id: &[u8],
-        mut demand: Demand,
+        mut demand: ClientRequest,
         forwarded: ForwardedRequest,
     ) -> Option<(RequestId, oneshot::Receiver<ClientResponse>)> {
         let (responder, response) = oneshot::channel();
@@ -375,8 +375,8 @@
         // The gateway needs ids that are never reused, which client-supplied ids are not guaranteed to be.
         state.last_id += 1;
         demand.id = state.last_id;
-        demand.left = self.limit_to_shutdown(demand.left);
-        let deadline = self.clock.now() + demand.left;
+        demand.time_left = self.limit_to_shutdown(demand.time_left);
+        let deadline = self.clock.now() + demand.time_left;
         let open = OpenRequest {
             client_id,
             responder: Some(responder),
@@ -399,7 +399,7 @@
         let never_sent = state.open.get(&id).is_some_and(|open| open.attempts.is_empty());
         if state.take_responder(id).is_some() {
             state.remove_if_done(id);
-            state.events.push_back(Event::Gone { id });
+            state.events.push_back(Event::ClientGone { id });
             self.process_events(&mut state);
         }
         if never_sent {
@@ -430,7 +430,7 @@
         }
         let closed = state.open.get(&id).is_none_or(|o| o.responder.is_none());
         state.remove_if_done(id);
-        let outcome = Outcome { id, attempt: number, server, status, latency, closed, load };
+        let outcome = Outcome { id, attempt: number, server, status, latency, request_done: closed, load };
         state.events.push_back(Event::Outcome(outcome));
         self.process_events(state);
     }
@@ -514,7 +514,7 @@
             "request {id}: deadline reached without a decision of the gateway; answering 504"
         ));
         state.respond(id, ClientResponse::DeadlineExceeded);
-        state.events.push_back(Event::Gone { id });
+        state.events.push_back(Event::ClientGone { id });
         self.process_events(state);
     }
 }
--- a/limeway/src/counter.rs
+++ b/limeway/src/counter.rs
@@ -98,9 +98,9 @@
     /// Opens a connection. On failure, returns the status of the call.
     async fn connect(&self) -> Result<CounterConnection, Status> {
         let open = self.open.borrow().clone();
-        // `Status::Full`, as nothing is added if no connection may be opened.
+        // `Status::Declined`, as nothing is added if no connection may be opened.
         let held = self.descriptors.try_acquire(Owner::Counter).filter(|_| open.get() < MAX_CONNECTIONS);
-        let (held, _open) = (held.ok_or(Status::Full)?, CountGuard::new(&open));
+        let (held, _open) = (held.ok_or(Status::Declined)?, CountGuard::new(&open));
         let conn =
             OutboundConnection::connect(self.address.get(), held).await.map_err(|_| Status::ConnectFailed)?;
         Ok(CounterConnection { conn, _open })
@@ -138,7 +138,7 @@
                 Some(total) if total.is_finite() => (Status::Ok, total),
                 _ => (Status::Error, 0.0),
             },
-            400 | 404 | 503 => (Status::Full, 0.0),
+            400 | 404 | 503 => (Status::Declined, 0.0),
             _ => (Status::Error, 0.0),
         };
         // After an invalid response, the connection is not reused.
--- a/limeway/src/network/network_event.rs
+++ b/limeway/src/network/network_event.rs
@@ -1,7 +1,7 @@
 //! Events that attempts, counter calls and the peer socket report. Commands to them are calls; events come back through
 //! a sink.
 
-use pondgw::{Load, Micros, RequestId, Status};
+use pondgw::{LoadReport, Micros, RequestId, Status};
 use std::rc::Rc;
 
 /// An event on the network.
@@ -54,11 +54,11 @@
     /// The response for the client, if the attempt succeeded.
     pub response: Option<ServedResponse>,
     /// The server's load report.
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 impl From<Status> for AttemptResult {
     fn from(status: Status) -> Self {
-        AttemptResult { status, response: None, load: Load::default() }
+        AttemptResult { status, response: None, load: LoadReport::default() }
     }
 }
