--- a/limeway/src/clients/client_connection.rs
+++ b/limeway/src/clients/client_connection.rs
@@ -108,7 +108,7 @@
             };
             self.awaits_first_request = false;
             let last = !head.keep_alive || self.over_limit;
-            let parsed = request::parse(&core.config.setup, &head, &bytes, body);
+            let parsed = request::parse(&core.config.host_settings, &head, &bytes, body);
             self.invalid_requests = if parsed.is_err() { self.invalid_requests + 1 } else { 0 };
             let open = match parsed {
                 Err(rejection) => {
@@ -411,7 +411,7 @@
 
 /// The Retry-After header, if the permissions allow it; empty if there is no wait to state.
 fn retry_after_header(core: &Core, wait: Micros) -> Vec<u8> {
-    let allow = &core.config.setup.settings.permissions;
+    let allow = &core.config.host_settings.settings.permissions;
     let wait = wait.min(allow.max_retry_after);
     let mut header = Vec::new();
     if wait > 0 && allow.send_retry_after {
--- a/limeway/src/config.rs
+++ b/limeway/src/config.rs
@@ -102,7 +102,7 @@
     /// Servers to start with, until discovery answers.
     pub known_servers: Option<ServerList>,
     /// The settings object.
-    pub setup: HostSettings,
+    pub host_settings: HostSettings,
 }
 
 fn parse_address(key: &str, text: Option<&str>) -> Result<SocketAddr, ConfigError> {
@@ -162,7 +162,7 @@
             memory_mb: file.limits.memory_mb,
             peers,
             known_servers: file.known,
-            setup,
+            host_settings: setup,
         })
     }
 }
--- a/limeway/src/core.rs
+++ b/limeway/src/core.rs
@@ -176,15 +176,15 @@
         sink: EventSink,
     ) -> Self {
         let (clock, log_limiter) = (Rc::new(Clock::new()), Rc::new(LogLimiter::default()));
-        let limit = config.setup.settings.counter.as_ref().map_or(0, |counter| counter.call_timeout);
+        let limit = config.host_settings.settings.counter.as_ref().map_or(0, |counter| counter.call_timeout);
         let counter = config
             .service_addresses
             .counter
             .map(|address| counter::Counter::new(address, limit, descriptors.clone(), sink.clone()));
-        let pools = Rc::new(Pools::new(&config.setup, descriptors.clone()));
+        let pools = Rc::new(Pools::new(&config.host_settings, descriptors.clone()));
         let attempt_runner =
             AttemptRunner::new(pools.clone(), clock.clone(), log_limiter.clone(), sink.clone());
-        let gateway = Gateway::new(config.setup.settings.clone(), config.seed, clock.now());
+        let gateway = Gateway::new(config.host_settings.settings.clone(), config.seed, clock.now());
         Core {
             pools,
             attempt_runner,
@@ -228,7 +228,7 @@
         if !self.draining.get() || elapsed < SHUTDOWN_FULL_DEADLINE {
             return left;
         }
-        let sigkill = self.config.setup.max_deadline.min(SHUTDOWN_MAX_WAIT) + SHUTDOWN_FULL_DEADLINE;
+        let sigkill = self.config.host_settings.max_deadline.min(SHUTDOWN_MAX_WAIT) + SHUTDOWN_FULL_DEADLINE;
         left.min(sigkill.saturating_sub(elapsed + SHUTDOWN_MARGIN).max(SHUTDOWN_MARGIN))
     }
 
@@ -305,7 +305,7 @@
 
     fn start_attempt(self: &Rc<Self>, state: &mut State, id: RequestId, server: ServerId, timeout: Micros) {
         let now = self.clock.now();
-        let allow = &self.config.setup.settings.permissions;
+        let allow = &self.config.host_settings.settings.permissions;
         let not_sent = |number: usize, closed: bool| {
             self.log_limiter.warn(format_args!(
                 "attempt {number} of request {id} not sent: the request is over or the permissions do not allow it"
@@ -403,7 +403,7 @@
             self.process_events(&mut state);
         }
         if never_sent {
-            ClientResponse::Refused(self.config.setup.settings.permissions.max_retry_after)
+            ClientResponse::Refused(self.config.host_settings.settings.permissions.max_retry_after)
         } else {
             ClientResponse::Failed
         }
--- a/limeway/src/discovery/follower.rs
+++ b/limeway/src/discovery/follower.rs
@@ -92,7 +92,7 @@
 
 impl<'a> Follower<'a> {
     fn new(core: &'a Rc<Core>, moved: bool) -> Self {
-        let ask = core.config.setup.settings.watch_discovery;
+        let ask = core.config.host_settings.settings.watch_discovery;
         // What was known at the start is what the module holds: changes since then are enough, and cost discovery
         // less than the whole list. They are asked for without a wait, as the limiter is not ready before.
         let known =
@@ -146,7 +146,7 @@
         self.order.push_back(self.calls.spawn_local(call(core, conn, seq, hold_ms)));
         self.began = Instant::now();
         let held = self.seq.map(|_| self.hold_ms);
-        self.next = Next::Late(self.began + late_after(&self.core.config.setup, held));
+        self.next = Next::Late(self.began + late_after(&self.core.config.host_settings, held));
     }
 
     /// The newest call is late.
@@ -184,7 +184,7 @@
 
     fn back_off(&mut self) {
         self.next = Next::Begin(Instant::now() + self.backoff);
-        let grace = Duration::from_micros(self.core.config.setup.drain_grace) / BACKOFF_PART;
+        let grace = Duration::from_micros(self.core.config.host_settings.drain_grace) / BACKOFF_PART;
         let most = if grace.is_zero() { BACKOFF.1 } else { grace.clamp(BACKOFF.0, BACKOFF.1) };
         self.backoff = (self.backoff * 2).min(most);
     }
--- a/limeway/src/main.rs
+++ b/limeway/src/main.rs
@@ -92,7 +92,7 @@
     spawn_local(core.clone().run_timers());
     spawn_local(discovery::follower::run(core.clone()));
     if let Some(peers) = &core.peers {
-        let me = core.config.setup.settings.gateway_index as usize;
+        let me = core.config.host_settings.settings.gateway_index as usize;
         spawn_local(peers::run(peers.clone(), me, core.sink.clone()));
     }
     spawn_local(housekeeping(core.clone()));
