--- a/limeway/src/clients/client_connection.rs
+++ b/limeway/src/clients/client_connection.rs
@@ -120,8 +120,8 @@
                 Ok(ClientMessage::Request(..)) if self.over_limit => {
                     self.write_rejection(core, &Rejection::TOO_MANY_CONNECTIONS, true).await
                 }
-                Ok(ClientMessage::Request(client_id, demand, forwarded)) => {
-                    self.handle_request(core, table, client_id, (demand, forwarded), last).await
+                Ok(ClientMessage::Request(client_id, request, forwarded)) => {
+                    self.handle_request(core, table, client_id, (request, forwarded), last).await
                 }
             };
             if !open {
@@ -324,7 +324,7 @@
         core: &Rc<Core>,
         table: &ClientTable,
         client_id: Vec<u8>,
-        (mut demand, forwarded): (ClientRequest, ForwardedRequest),
+        (mut request, forwarded): (ClientRequest, ForwardedRequest),
         last: bool,
     ) -> bool {
         // The client's deadline counts from when it sent the request.
@@ -333,12 +333,12 @@
         if !self.drain_socket(core.lag.max_wait()) {
             return self.write_rejection(core, &Rejection::CLIENT_LEFT, true).await;
         }
-        demand.time_left = demand.time_left.saturating_sub(waited);
-        if demand.time_left == 0 {
+        request.time_left = request.time_left.saturating_sub(waited);
+        if request.time_left == 0 {
             let close = self.closes_after_response(core, table, last);
             return self.write_rejection(core, &Rejection::DEADLINE_PASSED, close).await;
         }
-        let Some((id, mut response)) = core.submit(&client_id, demand, forwarded) else {
+        let Some((id, mut response)) = core.submit(&client_id, request, forwarded) else {
             self.invalid_requests += 1;
             let close = self.closes_after_response(core, table, last);
             return self.write_rejection(core, &Rejection::ID_IN_USE, close).await;
--- a/limeway/src/clients/request.rs
+++ b/limeway/src/clients/request.rs
@@ -85,7 +85,7 @@
 
 /// Parses and validates a request. What passes can go to the gateway and to servers.
 pub fn parse(
-    setup: &HostSettings,
+    host_settings: &HostSettings,
     head: &Head,
     bytes: &[u8],
     body: Vec<u8>,
@@ -104,7 +104,7 @@
     let Some((kind, rest)) = path.strip_prefix('/').and_then(|p| p.split_once('/')) else {
         return Err(Rejection::UNKNOWN_PATH);
     };
-    let Some(class) = setup.classes.iter().position(|c| c == kind) else {
+    let Some(class) = host_settings.classes.iter().position(|c| c == kind) else {
         return Err(Rejection::UNKNOWN_PATH);
     };
     let customer = rest.rsplit('/').next().unwrap_or_default();
@@ -119,7 +119,7 @@
     if header("req-kind")? != Some(kind.as_bytes()) {
         return Err(Rejection::bad_request("Req-Kind is missing or not the path's class\n"));
     }
-    let idempotency = setup.settings.classes[class].idempotency;
+    let idempotency = host_settings.settings.classes[class].idempotency;
     let expected_method: &[u8] = if idempotency == Idempotency::Idempotent { b"GET" } else { b"POST" };
     if method != expected_method {
         return Err(Rejection { status: 405, body: "not the method of this class\n" });
@@ -133,13 +133,13 @@
     }
     let id = header("req-id")?.filter(|id| (1..=MAX_ID_LENGTH).contains(&id.len()));
     let id = id.ok_or(Rejection::bad_request("Req-Id is missing or too long\n"))?;
-    let plan = text(header("plan")?).and_then(|plan| setup.plans.iter().position(|p| p == plan));
+    let plan = text(header("plan")?).and_then(|plan| host_settings.plans.iter().position(|p| p == plan));
     let plan = plan.ok_or(Rejection::bad_request("Plan is missing or unknown\n"))?;
     let left = text(header("req-deadline-ms")?).and_then(parse_number);
     let left = left.filter(|ms| (1..=MAX_DEADLINE_MS).contains(ms));
     let left =
         left.ok_or(Rejection::bad_request("Req-Deadline-Ms is missing, no whole number or out of range\n"))?;
-    let info = text(header("quota-info")?).and_then(|info| parse_quota_info(setup, info));
+    let info = text(header("quota-info")?).and_then(|info| parse_quota_info(host_settings, info));
     let (units, spread, first) =
         info.ok_or(Rejection::bad_request("Quota-Info is missing or not valid\n"))?;
     let mut forwarded = Vec::with_capacity(head.len + 64);
@@ -148,7 +148,7 @@
     forwarded.extend_from_slice(target.as_bytes());
     forwarded.extend_from_slice(b" HTTP/1.1\r\n");
     head.copy_headers(bytes, &FORWARDED_HEADERS, &mut forwarded);
-    let demand = ClientRequest {
+    let request = ClientRequest {
         id: 0,
         class,
         plan,
@@ -159,7 +159,7 @@
         gateways: spread,
         first_gateway: first,
     };
-    Ok(ClientMessage::Request(id.to_vec(), demand, ForwardedRequest { head: forwarded, body }))
+    Ok(ClientMessage::Request(id.to_vec(), request, ForwardedRequest { head: forwarded, body }))
 }
 
 /// Parses an unsigned number: digits only, without a sign.
@@ -168,7 +168,7 @@
 }
 
 /// Parses Quota-Info: units, spread and the first gateway, each given once and within its bounds.
-fn parse_quota_info(setup: &HostSettings, info: &str) -> Option<(f64, u32, u32)> {
+fn parse_quota_info(host_settings: &HostSettings, info: &str) -> Option<(f64, u32, u32)> {
     let (mut units, mut spread, mut first) = (None, None, None);
     for pair in info.split(',') {
         let (name, value) = pair.trim().split_once('=')?;
@@ -183,7 +183,7 @@
         }
     }
     let (units, spread, first) = (units? as f64, spread?, first?);
-    let gateways = setup.settings.gateways;
-    let valid = units >= 1.0 && units <= setup.settings.max_units && (1..=gateways).contains(&spread);
+    let gateways = host_settings.settings.gateways;
+    let valid = units >= 1.0 && units <= host_settings.settings.max_units && (1..=gateways).contains(&spread);
     (valid && first < gateways).then_some((units, spread, first))
 }
--- a/limeway/src/config.rs
+++ b/limeway/src/config.rs
@@ -138,10 +138,10 @@
             return Err(ConfigError::new("limits.sockets", format!("is below {MIN_SOCKETS}")));
         }
         let settings = file.settings.ok_or_else(|| ConfigError::new("settings", "is missing"))?;
-        let setup = HostSettings::from_json(&settings)
+        let host_settings = HostSettings::from_json(&settings)
             .map_err(|e| ConfigError::new(&format!("settings.{}", e.key), e.reason))?;
-        validate(&setup)?;
-        let peers = if setup.settings.permissions.peer_messages {
+        validate(&host_settings)?;
+        let peers = if host_settings.settings.permissions.peer_messages {
             let listen = parse_address("peer_listen", file.peer_listen.as_deref())?;
             let peers: Result<Vec<_>, _> =
                 file.peers.iter().map(|p| parse_address("peers", Some(p))).collect();
@@ -149,7 +149,7 @@
         } else {
             None
         };
-        let counter = match setup.settings.counter {
+        let counter = match host_settings.settings.counter {
             Some(_) => Some(parse_address("counter", file.counter.as_deref())?),
             None => None,
         };
@@ -162,19 +162,19 @@
             memory_mb: file.limits.memory_mb,
             peers,
             known_servers: file.known,
-            host_settings: setup,
+            host_settings,
         })
     }
 }
 
 /// Checks for settings that the adapter may omit but a limiter needs.
-fn validate(setup: &HostSettings) -> Result<(), ConfigError> {
-    let settings = &setup.settings;
+fn validate(host_settings: &HostSettings) -> Result<(), ConfigError> {
+    let settings = &host_settings.settings;
     let error = |key: &str, reason: &str| Err(ConfigError::new(key, reason));
-    if settings.classes.is_empty() || setup.classes.iter().any(String::is_empty) {
+    if settings.classes.is_empty() || host_settings.classes.iter().any(String::is_empty) {
         return error("settings.profiles", "is missing, empty or has a class without a name");
     }
-    if settings.plans.is_empty() || setup.plans.iter().any(String::is_empty) {
+    if settings.plans.is_empty() || host_settings.plans.iter().any(String::is_empty) {
         return error("settings.plans", "is missing, empty or has a plan without a name");
     }
     if settings.gateway_index >= settings.gateways {
@@ -183,10 +183,10 @@
     if settings.permissions.max_attempts == 0 {
         return error("settings.permissions.max-attempts", "is missing or zero");
     }
-    if setup.connect_timeout == 0 {
+    if host_settings.connect_timeout == 0 {
         return error("settings.permissions.dial-timeout", "is missing or zero");
     }
-    if setup.server_idle_timeout == 0 {
+    if host_settings.server_idle_timeout == 0 {
         return error("settings.permissions.keepalive", "is missing or zero");
     }
     if settings.max_units <= 0.0 {
--- a/limeway/src/core.rs
+++ b/limeway/src/core.rs
@@ -57,7 +57,7 @@
 struct Attempt {
     server: ServerId,
     sent: Micros,
-    /// Ends the attempt with a status; `None` once used, or if the attempt was never started.
+    /// Ends the attempt with a status; `None` once used, or if the attempt is not running.
     stop: Option<oneshot::Sender<Status>>,
     /// Whether the request may still be written to the server.
     may_send: Rc<Cell<bool>>,
@@ -78,7 +78,7 @@
     client_id: Rc<[u8]>,
     /// Takes the final response to the client's connection; `None` once it is sent.
     responder: Option<oneshot::Sender<ClientResponse>>,
-    request: Rc<ForwardedRequest>,
+    forwarded: Rc<ForwardedRequest>,
     deadline: Micros,
     attempts: Vec<Attempt>,
 }
@@ -94,6 +94,7 @@
     Deadline(RequestId),
 }
 
+/// The gateway, with the requests and timers that it knows of.
 struct State {
     gateway: Gateway,
     events: VecDeque<Event>,
@@ -176,11 +177,12 @@
         sink: EventSink,
     ) -> Self {
         let (clock, log_limiter) = (Rc::new(Clock::new()), Rc::new(LogLimiter::default()));
-        let limit = config.host_settings.settings.counter.as_ref().map_or(0, |counter| counter.call_timeout);
+        let call_timeout =
+            config.host_settings.settings.counter.as_ref().map_or(0, |counter| counter.call_timeout);
         let counter = config
             .service_addresses
             .counter
-            .map(|address| counter::Counter::new(address, limit, descriptors.clone(), sink.clone()));
+            .map(|address| counter::Counter::new(address, call_timeout, descriptors.clone(), sink.clone()));
         let pools = Rc::new(Pools::new(&config.host_settings, descriptors.clone()));
         let attempt_runner =
             AttemptRunner::new(pools.clone(), clock.clone(), log_limiter.clone(), sink.clone());
@@ -306,7 +308,7 @@
     fn start_attempt(self: &Rc<Self>, state: &mut State, id: RequestId, server: ServerId, timeout: Micros) {
         let now = self.clock.now();
         let allow = &self.config.host_settings.settings.permissions;
-        let not_sent = |number: usize, closed: bool| {
+        let not_sent = |number: usize, request_done: bool| {
             self.log_limiter.warn(format_args!(
                 "attempt {number} of request {id} not sent: the request is over or the permissions do not allow it"
             ));
@@ -316,7 +318,7 @@
                 server,
                 status: Status::NotSent,
                 latency: 0,
-                request_done: closed,
+                request_done,
                 load: LoadReport::default(),
             })
         };
@@ -328,7 +330,7 @@
         let over = open.responder.is_none() || now >= open.deadline;
         let forbidden_copy = !allow.parallel_attempts && open.attempts.iter().any(|a| a.in_flight);
         if over || forbidden_copy || number >= allow.max_attempts as usize {
-            let closed = open.responder.is_none();
+            let request_done = open.responder.is_none();
             open.attempts.push(Attempt {
                 server,
                 sent: now,
@@ -336,7 +338,7 @@
                 may_send: Rc::default(),
                 in_flight: false,
             });
-            state.events.push_back(not_sent(number, closed));
+            state.events.push_back(not_sent(number, request_done));
             return;
         }
         let (stop, stopped) = oneshot::channel();
@@ -348,7 +350,7 @@
             may_send: may_send.clone(),
             in_flight: true,
         });
-        let (request, number, request_deadline) = (open.request.clone(), number as u32, open.deadline);
+        let (request, number, request_deadline) = (open.forwarded.clone(), number as u32, open.deadline);
         if timeout > 0 && now + timeout < request_deadline {
             self.set_timer(state, now + timeout, TimerKind::AttemptTimeout(id, number));
         }
@@ -361,7 +363,7 @@
     pub fn submit(
         self: &Rc<Self>,
         client_id: &[u8],
-        mut demand: ClientRequest,
+        mut request: ClientRequest,
         forwarded: ForwardedRequest,
     ) -> Option<(RequestId, oneshot::Receiver<ClientResponse>)> {
         let (responder, response) = oneshot::channel();
@@ -374,20 +376,20 @@
         state.client_ids.insert(client_id.clone());
         // The gateway needs ids that are never reused, which client-supplied ids are not guaranteed to be.
         state.last_id += 1;
-        demand.id = state.last_id;
-        demand.time_left = self.limit_to_shutdown(demand.time_left);
-        let deadline = self.clock.now() + demand.time_left;
+        request.id = state.last_id;
+        request.time_left = self.limit_to_shutdown(request.time_left);
+        let deadline = self.clock.now() + request.time_left;
         let open = OpenRequest {
             client_id,
             responder: Some(responder),
-            request: Rc::new(forwarded),
+            forwarded: Rc::new(forwarded),
             deadline,
             attempts: Vec::new(),
         };
-        state.open.insert(demand.id, open);
-        self.set_timer(state, deadline.saturating_sub(DEADLINE_MARGIN), TimerKind::Deadline(demand.id));
-        let id = demand.id;
-        state.events.push_back(Event::Request(demand));
+        state.open.insert(request.id, open);
+        self.set_timer(state, deadline.saturating_sub(DEADLINE_MARGIN), TimerKind::Deadline(request.id));
+        let id = request.id;
+        state.events.push_back(Event::Request(request));
         self.process_events(state);
         Some((id, response))
     }
@@ -428,9 +430,9 @@
                 let _ = responder.send(ClientResponse::Served(response));
             }
         }
-        let closed = state.open.get(&id).is_none_or(|o| o.responder.is_none());
+        let request_done = state.open.get(&id).is_none_or(|o| o.responder.is_none());
         state.remove_if_done(id);
-        let outcome = Outcome { id, attempt: number, server, status, latency, request_done: closed, load };
+        let outcome = Outcome { id, attempt: number, server, status, latency, request_done, load };
         state.events.push_back(Event::Outcome(outcome));
         self.process_events(state);
     }
