--- a/limeway/src/clients/client_connection.rs
+++ b/limeway/src/clients/client_connection.rs
@@ -19,7 +19,7 @@
 /// An idle connection is closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time for a request to arrive completely: the first from the opening of the connection, each later one from its first
-/// byte. A client that sends nothing, or no end, is thus closed or told so within 3 s.
+/// byte. So a connection without a request is closed, and one with an incomplete request answered 408, within 3 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// The same once the listener is closed, as the process is about to exit.
 const REQUEST_TIMEOUT_AT_SHUTDOWN: Duration = Duration::from_millis(300);
@@ -41,7 +41,7 @@
 const MAX_DISCARDED: usize = 1024 * 1024;
 /// Largest buffer that an idle connection keeps, in bytes.
 const MAX_IDLE_BUFFER: usize = 4 * 1024;
-/// Most bytes that are buffered while a request is open: one request of the largest size.
+/// Largest request, in bytes; no more than this is buffered while a request is open.
 const MAX_REQUEST: usize = http::MAX_HEAD + http::MAX_REQUEST_BODY;
 /// Retry-After of a 503, in microseconds: by then, connections have closed.
 const RETRY_AFTER_OVERLOAD: Micros = 1_000_000;
@@ -286,7 +286,7 @@
     }
 
     /// Reads all input that has arrived, after a wait of at most `waited`. Asks the kernel directly: the runtime's view
-    /// of the socket may be outdated by an iteration of its loop, and the end of input of a client that wrote and left
+    /// of the socket may be one iteration of its event loop behind, and the end of input of a client that wrote and left
     /// shows only after all that it wrote. False if the client has left
     /// or has sent too much ahead.
     fn drain_socket(&mut self, waited: Duration) -> bool {
@@ -384,7 +384,7 @@
     }
 
     /// Closes the connection: first the sending side, then, after input was read for a bounded time, the rest, as a
-    /// close with unread input resets the connection. That input is discarded: the end of the sending side has told
+    /// close with unread input resets the connection. That input is discarded: the end of the sending side has shown
     /// the client that no more requests are accepted.
     async fn close(&mut self, table: &Rc<ClientTable>, linger: Duration) {
         let _ = self.stream.shutdown().await;
--- a/limeway/src/clients/client_table.rs
+++ b/limeway/src/clients/client_table.rs
@@ -16,10 +16,10 @@
 
 /// Upper bound on the first threshold, as a fraction of the limit; the rest is room for new connections.
 const KEEP_ALIVE_FRACTION: (usize, usize) = (2, 3);
-/// The second threshold lies this fraction (one in so many) of the way from the first to the third.
+/// The second threshold lies above the first by the distance between the first and the third divided by this.
 const EVICT_DIVISOR: usize = 4;
-/// One in so many of the allowed connections is reserved for rejecting new ones, within the two bounds below: a
-/// rejected connection stays open until its request has been received.
+/// The limit divided by this is reserved for rejecting new connections, within the two bounds below: a rejected
+/// connection stays open until its request has been received.
 const REJECT_DIVISOR: usize = 8;
 /// Least number of connections reserved for rejecting.
 const MIN_REJECT_RESERVE: usize = 2;
--- a/limeway/src/core.rs
+++ b/limeway/src/core.rs
@@ -65,7 +65,7 @@
 }
 
 impl Attempt {
-    /// Ends the attempt with this status; false if it was ended before or is over.
+    /// Ends the attempt with this status; false if it had ended before.
     fn end(&mut self, status: Status) -> bool {
         self.may_send.set(false);
         self.stop.take().is_some_and(|stop| stop.send(status).is_ok())
@@ -310,7 +310,7 @@
         let allow = &self.config.host_settings.settings.permissions;
         let not_sent = |number: usize, request_done: bool| {
             self.log_limiter.warn(format_args!(
-                "attempt {number} of request {id} not sent: the request is over or the permissions do not allow it"
+                "attempt {number} of request {id} not sent: the request is finished or the permissions do not allow it"
             ));
             Event::Outcome(Outcome {
                 id,
@@ -327,9 +327,9 @@
             return;
         };
         let number = open.attempts.len();
-        let over = open.responder.is_none() || now >= open.deadline;
+        let finished = open.responder.is_none() || now >= open.deadline;
         let forbidden_copy = !allow.parallel_attempts && open.attempts.iter().any(|a| a.in_flight);
-        if over || forbidden_copy || number >= allow.max_attempts as usize {
+        if finished || forbidden_copy || number >= allow.max_attempts as usize {
             let request_done = open.responder.is_none();
             open.attempts.push(Attempt {
                 server,
--- a/limeway/src/counter.rs
+++ b/limeway/src/counter.rs
@@ -32,7 +32,7 @@
     _open: CountGuard,
 }
 
-/// Most connections to one address. The counter resets connections beyond 32, and after a network failure it may still
+/// Maximum number of connections to one address. The counter resets connections beyond 32, and after a network failure it may still
 /// hold connections that were given up here without its knowledge.
 const MAX_CONNECTIONS: usize = descriptors::MAX_COUNTER_CONNECTIONS;
 
--- a/limeway/src/main.rs
+++ b/limeway/src/main.rs
@@ -36,7 +36,8 @@
 const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
 /// Time from SIGTERM to the closing of idle connections. New connections still arrive until then and a little longer.
 const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(450);
-/// During shutdown, the listener closes once no connection has arrived for this time.
+/// During shutdown, the listener closes once no connection has arrived for this time. Accepting what is then left in
+/// the listen queue may take as long again.
 const LISTEN_QUIET_TIME: Duration = Duration::from_millis(250);
 /// Latest time after SIGTERM at which the listener closes: a request that arrives 0.7 s after SIGTERM or later must be
 /// answered before SIGKILL.
@@ -92,8 +93,8 @@
     spawn_local(core.clone().run_timers());
     spawn_local(discovery::follower::run(core.clone()));
     if let Some(peers) = &core.peers {
-        let me = core.config.host_settings.settings.gateway_index as usize;
-        spawn_local(peers::run(peers.clone(), me, core.sink.clone()));
+        let own_number = core.config.host_settings.settings.gateway_index as usize;
+        spawn_local(peers::run(peers.clone(), own_number, core.sink.clone()));
     }
     spawn_local(housekeeping(core.clone()));
     spawn_local(core.lag.clone().run());
--- a/limeway/src/network/connection.rs
+++ b/limeway/src/network/connection.rs
@@ -13,10 +13,10 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest pause within a response that has begun. Servers are near, so a longer one means that the response will not
-/// be completed.
+/// Longest pause within a response that has begun. Servers are near, so after a longer one the response is not expected
+/// to be completed. The size of a response is bounded as well.
 const STALL_TIMEOUT: Duration = Duration::from_millis(250);
-/// Most interim (1xx) responses before the final one.
+/// Maximum number of interim (1xx) responses before the final one.
 const MAX_INTERIM_RESPONSES: u32 = 8;
 /// Largest buffer that an idle connection keeps, in bytes.
 const MAX_IDLE_BUFFER: usize = 4 * 1024;
@@ -80,7 +80,7 @@
     Failed,
 }
 
-/// Asks the kernel for the state of a socket, as the runtime's view may be outdated by an iteration of its loop.
+/// Asks the kernel for the state of a socket, as the runtime's view may be one iteration of its event loop behind.
 pub fn socket_state(stream: &TcpStream) -> SocketState {
     let mut byte = [MaybeUninit::uninit(); 1];
     match retry_interrupted(|| socket2::SockRef::from(stream).peek(&mut byte)) {
@@ -96,7 +96,7 @@
     socket_state(stream) == SocketState::NothingPending
 }
 
-/// Opens a connection, again if a signal interrupts that.
+/// Opens a connection; repeated if a signal interrupts it.
 async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     loop {
         match TcpStream::connect(address).await {
--- a/limeway/src/network/descriptors.rs
+++ b/limeway/src/network/descriptors.rs
@@ -14,23 +14,25 @@
 /// Descriptors that are not connections: standard streams (3), runtime (3), signals (3), listener, datagram socket, the
 /// configuration file while it is read, a connection that is just being accepted, and a few inherited from the parent.
 const RESERVED: usize = 16;
-/// Client connections with a request take at most one in so many of all descriptors (deployment specification).
+/// The total divided by this is the number of client connections that may have a request at the same time (deployment
+/// specification).
 const CLIENT_REQUESTS_DIVISOR: usize = 3;
-/// Connections to servers are guaranteed one in so many of all descriptors. That is three for every eight requests that
+/// The total divided by this is guaranteed to connections to servers. That is three for every eight requests that
 /// clients can have open, as most of these wait for quota or are just being read or answered.
 const SERVERS_DIVISOR: usize = 8;
 /// Connections to servers beyond one for each open request: these are idle, for reuse.
 const SPARE_SERVER_CONNECTIONS: usize = 8;
-/// Connections to the counter are guaranteed one in so many of all descriptors, within the two bounds below. A call
-/// takes milliseconds, so that a few connections carry some hundred calls a second.
+/// The total divided by this is guaranteed to connections to the counter, within the two bounds below. A call takes
+/// milliseconds, so that a few connections carry some hundred calls a second.
 const COUNTER_DIVISOR: usize = 32;
 /// Least guaranteed share of the counter.
 const MIN_COUNTER_SHARE: usize = 2;
 /// Largest guaranteed share of the counter.
 const MAX_COUNTER_SHARE: usize = 8;
-/// Most connections to one address of the counter; for the reason see the module `counter`.
+/// Maximum number of connections to one address of the counter; for the reason see the module `counter`.
 pub const MAX_COUNTER_CONNECTIONS: usize = 24;
-/// Most calls to discovery in progress, see the module `discovery::follower`; a connection is guaranteed to each.
+/// Maximum number of calls to discovery in progress, see the module `discovery::follower`. Each is guaranteed a
+/// connection.
 pub const MAX_DISCOVERY_CALLS: usize = 4;
 
 /// Who opens a connection.
@@ -107,7 +109,7 @@
         Rc::new(DescriptorBudget { budget: total - RESERVED, max_client_requests, allotments })
     }
 
-    /// Most client connections that may have a request at the same time.
+    /// Number of client connections that may have a request at the same time.
     pub fn max_client_requests(&self) -> usize {
         self.max_client_requests
     }
--- a/limeway/src/network/http.rs
+++ b/limeway/src/network/http.rs
@@ -10,7 +10,7 @@
 pub const MAX_REQUEST_BODY: usize = 64 * 1024;
 /// Largest body of a server's response, in bytes: servers have been seen to send some 400 KB.
 pub const MAX_RESPONSE_BODY: usize = 1024 * 1024;
-/// Most headers in a message.
+/// Maximum number of headers in a message.
 const MAX_HEADERS: usize = 64;
 /// Longest chunk-size line, and largest size of all trailers together, in bytes.
 const MAX_CHUNK_LINE: usize = 1024;
--- a/limeway/src/network/loop_lag.rs
+++ b/limeway/src/network/loop_lag.rs
@@ -1,12 +1,12 @@
 //! An upper bound on the time that input just read had waited for the process's only thread.
 //!
 //! The system does not tell when a connection or its data arrived. But it had not arrived when the runtime last polled
-//! the sockets, at the end of the thread's previous park. So it arrived either in the turn of the event loop that
-//! followed, or during the present park, which it would have ended at once. A park that lasts longer than the heartbeat
+//! the sockets, at the end of the thread's previous park. So it arrived either in the turn that followed, in which the
+//! tasks ran, or during the latest park, which it would have ended at once. A park that lasts longer than the heartbeat
 //! allows was no idle wait: the process was stopped, or the machine was busy. The excess counts as waiting time.
 //!
-//! While there are always tasks to run, the runtime polls the sockets without a park, and no hook is called. A task that
-//! yields runs again right after such a poll, so in a long turn a task yields in order to record the poll.
+//! As long as there are always tasks to run, the runtime polls the sockets without a park, and calls no hook. A task
+//! that yields runs again right after such a poll, so in a long turn a task yields in order to record the poll.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
