--- a/limeway/src/clients/listener.rs
+++ b/limeway/src/clients/listener.rs
@@ -50,8 +50,9 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let delay = delayed_since.map_or(Duration::ZERO, |since| since.elapsed());
-                let waited = core.lag.max_wait().max(delay);
+                let in_loop = core.lag.max_wait();
+                let in_queue = delayed_since.map_or(Duration::ZERO, |since| since.elapsed());
+                let waited = in_loop.max(in_queue);
                 let over_limit = table.rejects_new();
                 let held = table.accept();
                 let (core, table) = (core.clone(), table.clone());
--- a/limeway/src/peers.rs
+++ b/limeway/src/peers.rs
@@ -22,7 +22,7 @@
         Ok(Peers { socket: UdpSocket::bind(listen).await?, addresses })
     }
 
-    /// Sends a message. If the socket cannot take it at once, it is lost; like any datagram, it may be.
+    /// Sends a message. One that the socket cannot take at once is lost, as any datagram may be.
     pub fn send(&self, peer: u32, data: &[u8]) {
         if data.len() > MAX_DATAGRAM {
             log::warn!(
