--- a/limeway/src/clients/client_connection.rs
+++ b/limeway/src/clients/client_connection.rs
@@ -66,7 +66,8 @@
     read_delay: Duration,
     /// Invalid requests in a row.
     invalid_requests: u32,
-    /// Bytes discarded because the buffer was full. As they are missing, nothing can be read once the buffer is used up.
+    /// Bytes discarded because the buffer was full. As they are missing, nothing more can be read once the buffer is
+    /// used up.
     discarded: usize,
 }
 
@@ -285,10 +286,9 @@
         while self.buffer.len() < MAX_REQUEST && matches!(self.read_nonblocking(self.read_delay), Ok(1..)) {}
     }
 
-    /// Reads all input that has arrived, after a wait of at most `waited`. Asks the kernel directly: the runtime's view
-    /// of the socket may be one iteration of its event loop behind, and the end of input of a client that wrote and left
-    /// shows only after all that it wrote. False if the client has left
-    /// or has sent too much ahead.
+    /// Reads all input that has arrived, after a wait of at most `waited`. False if the client has left or has sent too
+    /// much ahead. Asks the kernel directly: the runtime's view of the socket may be one iteration of its event loop
+    /// behind, and the end of input of a client that wrote and left shows only after all that it wrote.
     fn drain_socket(&mut self, waited: Duration) -> bool {
         loop {
             match self.read_nonblocking(waited) {
--- a/limeway/src/counter.rs
+++ b/limeway/src/counter.rs
@@ -32,13 +32,13 @@
     _open: CountGuard,
 }
 
-/// Maximum number of connections to one address. The counter resets connections beyond 32, and after a network failure it may still
-/// hold connections that were given up here without its knowledge.
+/// Maximum number of connections to one address. The counter resets connections beyond 32, and after a network failure
+/// it may still hold as many that were given up here without its knowledge.
 const MAX_CONNECTIONS: usize = descriptors::MAX_COUNTER_CONNECTIONS;
 
 impl Counter {
-    /// Creates a client for the counter at this address. A call is given up after `call_timeout`; its result goes to the
-    /// sink.
+    /// Creates a client for the counter at this address. A call is given up after `call_timeout`; its result goes to
+    /// the sink.
     pub fn new(
         address: SocketAddr,
         call_timeout: Micros,
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Makes a call and reports its result to the sink. Calls for one name never overlap: the gateway makes one call for
-    /// a customer at a time, and no two customers share a name.
+    /// Makes a call and reports its result to the sink. Calls for one name never overlap: the gateway makes one call
+    /// for a customer at a time, and no two customers share a name.
     pub fn call(self: &Rc<Self>, name: u64, amount: f64, ttl: Micros) {
         let counter = self.clone();
         tokio::task::spawn_local(async move {
--- a/limeway/src/log_limiter.rs
+++ b/limeway/src/log_limiter.rs
@@ -4,8 +4,8 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Logs at most one warning per second. The reader of standard error may be slow, and a write to a full pipe would block
-/// the process's only thread.
+/// Logs at most one warning per second. The reader of standard error may be slow, and a write to a full pipe would
+/// block the process's only thread.
 #[derive(Default)]
 pub struct LogLimiter {
     last: Cell<Option<Instant>>,
--- a/limeway/src/network/stream_io.rs
+++ b/limeway/src/network/stream_io.rs
@@ -15,7 +15,8 @@
     }
 }
 
-/// Writes all bytes, in as many pieces as the system takes them in. The library repeats a write that a signal interrupts.
+/// Writes all bytes, in as many pieces as the system takes them in. The library repeats a write that a signal
+/// interrupts.
 pub async fn write_all<W: AsyncWrite + Unpin>(to: &mut W, bytes: &[u8]) -> io::Result<()> {
     to.write_all(bytes).await
 }
--- a/limeway/src/peers.rs
+++ b/limeway/src/peers.rs
@@ -47,8 +47,8 @@
         let (len, from) = match peers.socket.recv_from(&mut data).await {
             Ok(received) => received,
             Err(e) => {
-                // Mostly the report that an earlier message reached no listening socket. The pause avoids a busy loop if
-                // the error persists.
+                // Mostly the report that an earlier message reached no listening socket. The pause avoids a busy loop
+                // if the error persists.
                 log::debug!("cannot receive from other limiters: {e}");
                 tokio::time::sleep(Duration::from_millis(1)).await;
                 continue;
