--- a/limeway/src/core.rs
+++ b/limeway/src/core.rs
@@ -10,8 +10,8 @@
 use crate::network::descriptors::DescriptorBudget;
 use crate::network::loop_lag::LoopLag;
 use crate::network::network_event::{AttemptResult, EventSink, NetworkEvent, ServedResponse};
-use crate::upstream::attempts::{AttemptRunner, ForwardedRequest, NewAttempt};
-use crate::upstream::servers::Pools;
+use crate::upstream::attempts::{AttemptRunner, AttemptSpec, ForwardedRequest};
+use crate::upstream::servers::ServerPools;
 use crate::{counter, peers};
 use pondgw::*;
 use std::cell::{Cell, RefCell};
@@ -60,14 +60,14 @@
     /// Ends the attempt with a status; `None` once used, or if the attempt is not running.
     stop: Option<oneshot::Sender<Status>>,
     /// Whether the request may still be written to the server.
-    may_send: Rc<Cell<bool>>,
+    may_write: Rc<Cell<bool>>,
     in_flight: bool,
 }
 
 impl Attempt {
     /// Ends the attempt with this status; false if it had ended before.
     fn end(&mut self, status: Status) -> bool {
-        self.may_send.set(false);
+        self.may_write.set(false);
         self.stop.take().is_some_and(|stop| stop.send(status).is_ok())
     }
 }
@@ -117,7 +117,7 @@
     /// Upper bound on the time that input may have waited to be read.
     pub lag: Arc<LoopLag>,
     /// Connections to servers.
-    pub pools: Rc<Pools>,
+    pub pools: Rc<ServerPools>,
     attempt_runner: Rc<AttemptRunner>,
     /// Client of the counter, if there is one.
     pub counter: Option<Rc<counter::Counter>>,
@@ -183,7 +183,7 @@
             .service_addresses
             .counter
             .map(|address| counter::Counter::new(address, call_timeout, descriptors.clone(), sink.clone()));
-        let pools = Rc::new(Pools::new(&config.host_settings, descriptors.clone()));
+        let pools = Rc::new(ServerPools::new(&config.host_settings, descriptors.clone()));
         let attempt_runner =
             AttemptRunner::new(pools.clone(), clock.clone(), log_limiter.clone(), sink.clone());
         let gateway = Gateway::new(config.host_settings.settings.clone(), config.seed, clock.now());
@@ -247,7 +247,7 @@
 
     /// Applies a list of servers. The pools come first, so that no attempt starts at a server that was just removed.
     pub fn update_servers(self: &Rc<Self>, kind: ListKind, list: &ServerList) {
-        let entries = self.pools.update(kind, list);
+        let entries = self.pools.apply_list(kind, list);
         self.handle_event(Event::Servers { kind, entries });
     }
 
@@ -335,19 +335,19 @@
                 server,
                 sent: now,
                 stop: None,
-                may_send: Rc::default(),
+                may_write: Rc::default(),
                 in_flight: false,
             });
             state.events.push_back(not_sent(number, request_done));
             return;
         }
         let (stop, stopped) = oneshot::channel();
-        let may_send = Rc::new(Cell::new(true));
+        let may_write = Rc::new(Cell::new(true));
         open.attempts.push(Attempt {
             server,
             sent: now,
             stop: Some(stop),
-            may_send: may_send.clone(),
+            may_write: may_write.clone(),
             in_flight: true,
         });
         let (request, number, request_deadline) = (open.forwarded.clone(), number as u32, open.deadline);
@@ -355,7 +355,7 @@
             self.set_timer(state, now + timeout, TimerKind::AttemptTimeout(id, number));
         }
         let deadline = if timeout > 0 { request_deadline.min(now + timeout) } else { request_deadline };
-        self.attempt_runner.start(NewAttempt { id, number, server, request, deadline, may_send }, stopped);
+        self.attempt_runner.start(AttemptSpec { id, number, server, request, deadline, may_write }, stopped);
     }
 
     /// Submits a client's request to the gateway. Returns its id here and the channel that its response comes on, or
@@ -534,7 +534,7 @@
     fn take_responder(&mut self, id: RequestId) -> Option<oneshot::Sender<ClientResponse>> {
         let open = self.open.get_mut(&id)?;
         let responder = open.responder.take()?;
-        open.attempts.iter().for_each(|attempt| attempt.may_send.set(false));
+        open.attempts.iter().for_each(|attempt| attempt.may_write.set(false));
         self.client_ids.remove(&open.client_id);
         Some(responder)
     }
