--- a/limeway/src/discovery/follower.rs
+++ b/limeway/src/discovery/follower.rs
@@ -7,7 +7,7 @@
 
 use crate::core::Core;
 use crate::discovery::catalog::ServerList;
-use crate::network::connection::{Broken, Conn, Reply};
+use crate::network::connection::{ExchangeError, OutboundConnection, Response};
 use crate::network::descriptors::{self, Owner};
 use crate::network::http;
 use pondgw::{Event, HostSettings, ListKind};
@@ -34,7 +34,7 @@
 /// discovery answers such a call at once, and the protocol treats the limiter as informed of whatever the agent has.
 const GRACE_DIVISOR: u32 = 2;
 /// Largest number of concurrent calls: as many as can become overdue one after the other within `INFORMED_AFTER`.
-const MAX_CALLS: usize = descriptors::DISCOVERY_MOST;
+const MAX_CALLS: usize = descriptors::MAX_DISCOVERY_CALLS;
 /// Longest list that is read, in bytes for each megabyte of the memory limit: an eighth. A list is held once as read,
 /// twice while the buffer grows, and then both as text and as rows. A row takes about 126 bytes, so 64 MB are enough
 /// for a list of 60,000 servers.
@@ -54,7 +54,7 @@
         tokio::select! {
             biased;
             // A pending watch at the old address is dropped, and the whole list is requested at the new one.
-            () = core.moved.notified() => moved = true,
+            () = core.discovery_moved.notified() => moved = true,
             () = Follower::new(&core, moved).run() => {}
         }
     }
@@ -72,7 +72,7 @@
 }
 
 /// A list, and its connection if that can be reused.
-type Answer = (ServerList, Option<Conn>);
+type Answer = (ServerList, Option<OutboundConnection>);
 
 /// Follows discovery at one address.
 struct Follower<'a> {
@@ -84,7 +84,7 @@
     seq: Option<u64>,
     /// Hold time of the next call, in milliseconds.
     hold_ms: u64,
-    conn: Option<Conn>,
+    conn: Option<OutboundConnection>,
     calls: JoinSet<io::Result<Answer>>,
     /// The pending calls, oldest first.
     pending: VecDeque<AbortHandle>,
@@ -96,10 +96,11 @@
 
 impl<'a> Follower<'a> {
     fn new(core: &'a Rc<Core>, moved: bool) -> Self {
-        let must_ask = core.config.setup.settings.watch_discovery;
+        let must_ask = core.config.host_settings.settings.watch_discovery;
         // The module holds the list known at start, so the changes since then are enough, and cost discovery less than
         // the whole list. The first call has almost no hold time, as the limiter is not ready before its answer.
-        let known = core.config.known.as_ref().filter(|list| !moved && list.whole && list.invalid_rows == 0);
+        let known =
+            core.config.known_servers.as_ref().filter(|list| !moved && list.whole && list.invalid_rows == 0);
         let now = Instant::now();
         Follower {
             core,
@@ -128,7 +129,7 @@
                     Ok((id, Err(e))) => self.on_failure(id, &e),
                     Err(e) => self.on_failure(e.id(), &io::Error::other("the call was aborted")),
                 },
-                () = self.core.watch.notified(), if on_request => self.next = Next::Call(Instant::now()),
+                () = self.core.watch_requested.notified(), if on_request => self.next = Next::Call(Instant::now()),
                 () = sleep_until(at), if !on_request => match self.next {
                     Next::Call(_) => self.start_call(),
                     _ => self.on_overdue(),
@@ -149,7 +150,7 @@
         self.pending.push_back(self.calls.spawn_local(call(core, conn, seq, hold_ms)));
         self.started = Instant::now();
         let hold_ms = self.seq.map(|_| self.hold_ms);
-        self.next = Next::Overdue(self.started + overdue_after(&self.core.config.setup, hold_ms));
+        self.next = Next::Overdue(self.started + overdue_after(&self.core.config.host_settings, hold_ms));
     }
 
     fn on_overdue(&mut self) {
@@ -183,12 +184,12 @@
 
     fn report_failure(&mut self) {
         self.next = Next::OnRequest;
-        self.core.feed(Event::Servers { kind: ListKind::Failed, entries: Vec::new() });
+        self.core.handle_event(Event::Servers { kind: ListKind::Failed, entries: Vec::new() });
     }
 
     fn back_off(&mut self) {
         self.next = Next::Call(Instant::now() + self.backoff);
-        let limit = Duration::from_micros(self.core.config.setup.drain_grace) / BACKOFF_GRACE_DIVISOR;
+        let limit = Duration::from_micros(self.core.config.host_settings.drain_grace) / BACKOFF_GRACE_DIVISOR;
         let limit = if limit.is_zero() { BACKOFF.1 } else { limit.clamp(BACKOFF.0, BACKOFF.1) };
         self.backoff = (self.backoff * 2).min(limit);
     }
@@ -202,10 +203,10 @@
         let early = self.started.elapsed() < Duration::from_millis(self.hold_ms) / 2;
         // A whole list with invalid rows is applied as changes: a server missing from it may be in an invalid row.
         if list.whole && list.invalid_rows == 0 {
-            self.core.learn(ListKind::Full, &list);
+            self.core.update_servers(ListKind::Full, &list);
         } else {
             // Applied even without changes, as the module derives the age of its list from it.
-            self.core.learn(ListKind::Delta, &list);
+            self.core.update_servers(ListKind::Delta, &list);
         }
         self.core.ready.set(true);
         if list.invalid_rows > 0 {
@@ -238,11 +239,16 @@
 /// Longest list that is read, in bytes.
 fn max_list_bytes(core: &Core) -> usize {
     // The cast turns a negative value or NaN into 0, and saturates above the largest `usize`.
-    ((core.config.memory_mb * LIST_BYTES_PER_MB) as usize).max(http::ANSWER_BODY_MOST)
+    ((core.config.memory_mb * LIST_BYTES_PER_MB) as usize).max(http::MAX_RESPONSE_BODY)
 }
 
 /// Requests the whole list, or with `seq` the changes since that version, for which discovery waits up to `hold_ms`.
-async fn call(core: Rc<Core>, idle: Option<Conn>, seq: Option<u64>, hold_ms: u64) -> io::Result<Answer> {
+async fn call(
+    core: Rc<Core>,
+    idle: Option<OutboundConnection>,
+    seq: Option<u64>,
+    hold_ms: u64,
+) -> io::Result<Answer> {
     let target = match seq {
         Some(seq) => format!("/catalog/members?from={seq}&hold_ms={hold_ms}"),
         None => "/catalog/members".to_owned(),
@@ -250,24 +256,29 @@
     let message = format!("GET {target} HTTP/1.1\r\nHost: discovery\r\n\r\n");
     let max_bytes = max_list_bytes(&core);
     let exchange = async {
-        let mut conn = match idle.filter(Conn::quiet) {
+        let mut conn = match idle.filter(OutboundConnection::nothing_pending) {
             Some(conn) => conn,
             None => {
-                let held = core.descriptors.try_hold(Owner::Discovery);
+                let held = core.descriptors.try_acquire(Owner::Discovery);
                 let held = held.ok_or_else(|| io::Error::other("the limit of open calls is reached"))?;
-                Conn::open_for(core.places.get().discovery, held, max_bytes).await?
+                OutboundConnection::connect_with_body_limit(
+                    core.service_addresses.get().discovery,
+                    held,
+                    max_bytes,
+                )
+                .await?
             }
         };
         conn.write(message.as_bytes(), &Cell::new(false)).await?;
-        let Reply { head, body, keep, .. } = conn.read().await.map_err(|e| match e {
-            Broken::Ended(e) => e,
+        let Response { head, body, reusable, .. } = conn.read_response().await.map_err(|e| match e {
+            ExchangeError::Connection(e) => e,
             e => io::Error::other(format!("{e}; lists of up to {max_bytes} bytes are read")),
         })?;
         if head.status != 200 {
             return Err(io::Error::other(format!("status {}", head.status)));
         }
         let list = serde_json::from_slice(&body)?;
-        Ok((list, keep.then_some(conn)))
+        Ok((list, reusable.then_some(conn)))
     };
     timeout(Duration::from_millis(hold_ms) + INFORMED_AFTER, exchange).await?
 }
--- a/limeway/src/upstream/attempts.rs
+++ b/limeway/src/upstream/attempts.rs
@@ -2,9 +2,9 @@
 
 use crate::clock::Clock;
 use crate::log_limiter::LogLimiter;
-use crate::network::connection::{Broken, Conn, Reply};
+use crate::network::connection::{ExchangeError, OutboundConnection, Response};
 use crate::network::http;
-use crate::network::network_event::{End, EventSink, NetworkEvent, Served};
+use crate::network::network_event::{AttemptResult, EventSink, NetworkEvent, ServedResponse};
 use crate::upstream::servers::{Checkout, ServerPools};
 use pondgw::{LoadReport, Micros, RequestId, ServerId, Status};
 use std::cell::Cell;
@@ -33,7 +33,7 @@
     /// The server to send it to.
     pub server: ServerId,
     /// The request to send.
-    pub forward: Rc<ForwardedRequest>,
+    pub request: Rc<ForwardedRequest>,
     /// Time by which the server has to answer, on the module's clock.
     pub deadline: Micros,
     /// Cleared when the request has ended or the attempt has been stopped: the request is not written after that.
@@ -66,15 +66,15 @@
         let this = self.clone();
         tokio::task::spawn_local(async move {
             let written = Cell::new(false);
-            let end = tokio::select! {
+            let result = tokio::select! {
                 biased;
-                end = this.attempt(&spec, &written) => end,
+                result = this.attempt(&spec, &written) => result,
                 // If the request was not written completely, the server cannot have run it.
                 status = stopped => {
                     if written.get() { status.unwrap_or(Status::Cancelled) } else { Status::NotSent }.into()
                 }
             };
-            (this.sink)(NetworkEvent::AttemptEnded { id: spec.id, number: spec.number, end });
+            (this.sink)(NetworkEvent::AttemptEnded { id: spec.id, number: spec.number, result });
             this.pools.attempt_ended(spec.server);
         });
     }
@@ -82,15 +82,15 @@
     /// Whether a body that is delimited by the end of its connection is complete, as far as that can be known: the
     /// server must still be up, and the body must not contain a second response.
     fn is_complete(&self, server: ServerId, started: Instant, body: &[u8]) -> bool {
-        !body.is_empty() && !http::holds_status_line(body) && self.pools.seems_up_since(server, started)
+        !body.is_empty() && !http::contains_status_line(body) && self.pools.seems_up_since(server, started)
     }
 
-    async fn attempt(&self, spec: &AttemptSpec, written: &Cell<bool>) -> End {
+    async fn attempt(&self, spec: &AttemptSpec, written: &Cell<bool>) -> AttemptResult {
         let (pools, started) = (&self.pools, Instant::now());
         let mut conn = match pools.take(spec.server) {
             Some(Checkout::Idle(conn)) => conn,
             Some(Checkout::Connect(address, held)) => {
-                match timeout(pools.connect_timeout, Conn::open(address, held)).await {
+                match timeout(pools.connect_timeout, OutboundConnection::connect(address, held)).await {
                     Ok(Ok(conn)) => {
                         // After a pause of this process, the runtime may find the connection established and at the
                         // same time an event that forbids this attempt. Tasks woken by such events run first.
@@ -121,19 +121,19 @@
             pools.give_back(spec.server, conn);
             return Status::NotSent.into();
         }
-        if !pools.is_in_service_at(spec.server, conn.to) {
+        if !pools.is_in_service_at(spec.server, conn.address) {
             return Status::NotSent.into();
         }
         // The time left is computed only now, as establishing the connection may have taken long.
-        let message = request_bytes(&spec.forward, spec.deadline.saturating_sub(self.clock.now()));
+        let message = request_bytes(&spec.request, spec.deadline.saturating_sub(self.clock.now()));
         if let Err(e) = conn.write(&message, written).await {
             log::debug!("connection to server {} broke before the request was written: {e}", spec.server);
             // The request was not written completely, so the server cannot have run it.
             return Status::ConnectFailed.into();
         }
-        let Reply { head, bytes, body, keep, ended_by_close } = match conn.read().await {
+        let Response { head, bytes, body, reusable, close_delimited } = match conn.read_response().await {
             Ok(reply) => reply,
-            Err(Broken::Ended(e)) => {
+            Err(ExchangeError::Connection(e)) => {
                 log::debug!("connection to server {} broke: {e}", spec.server);
                 pools.record_reset(spec.server);
                 return Status::Reset.into();
@@ -144,7 +144,7 @@
                 return Status::Error.into();
             }
         };
-        if ended_by_close && head.status == 200 && !self.is_complete(spec.server, started, &body) {
+        if close_delimited && head.status == 200 && !self.is_complete(spec.server, started, &body) {
             log::debug!("server {}: response without a length may be truncated", spec.server);
             return Status::Error.into();
         }
@@ -154,16 +154,16 @@
             503 | 504 if declined => Status::Declined,
             _ => Status::Error,
         };
-        if keep {
+        if reusable {
             pools.give_back(spec.server, conn);
         }
-        let served = (status == Status::Ok).then(|| {
+        let response = (status == Status::Ok).then(|| {
             let mut headers = Vec::new();
             head.copy_headers(&bytes, &FORWARDED_HEADERS, &mut headers);
-            Served { headers, body }
+            ServedResponse { headers, body }
         });
         let load = head.header(&bytes, "srv-load").map(parse_load_report).unwrap_or_default();
-        End { status, served, load }
+        AttemptResult { status, response, load }
     }
 }
 
@@ -201,18 +201,18 @@
 }
 
 /// The request as written to a server, with the headers that depend on the attempt.
-fn request_bytes(forward: &ForwardedRequest, time_left: Micros) -> Vec<u8> {
+fn request_bytes(request: &ForwardedRequest, time_left: Micros) -> Vec<u8> {
     let mut digits = itoa::Buffer::new();
-    let mut message = Vec::with_capacity(forward.head.len() + forward.body.len() + 64);
-    message.extend_from_slice(&forward.head);
+    let mut message = Vec::with_capacity(request.head.len() + request.body.len() + 64);
+    message.extend_from_slice(&request.head);
     message.extend_from_slice(b"Req-Deadline-Ms: ");
     message.extend_from_slice(digits.format((time_left / 1_000).max(1)).as_bytes());
-    if !forward.body.is_empty() || forward.head.starts_with(b"POST") {
+    if !request.body.is_empty() || request.head.starts_with(b"POST") {
         message.extend_from_slice(b"\r\nContent-Length: ");
-        message.extend_from_slice(digits.format(forward.body.len()).as_bytes());
+        message.extend_from_slice(digits.format(request.body.len()).as_bytes());
     }
     message.extend_from_slice(b"\r\n\r\n");
-    message.extend_from_slice(&forward.body);
+    message.extend_from_slice(&request.body);
     message
 }
 
--- a/limeway/src/upstream/servers.rs
+++ b/limeway/src/upstream/servers.rs
@@ -1,8 +1,8 @@
 //! The servers that discovery lists, and a pool of connections to each.
 
 use crate::discovery::catalog::{Health, ServerList};
-use crate::network::connection::{Conn, IdleState};
-use crate::network::descriptors::{Descriptors, Held, Owner};
+use crate::network::connection::{OutboundConnection, SocketState};
+use crate::network::descriptors::{CountGuard, DescriptorBudget, Owner};
 use crate::upstream::zones::Zones;
 use pondgw::{HostSettings, Lifecycle, ListKind, ServerEntry, ServerId};
 use std::cell::RefCell;
@@ -32,15 +32,15 @@
     /// When an attempt at it last ended with a reset.
     reset_at: Option<Instant>,
     /// Idle connections, the one used last at the end.
-    idle: Vec<Conn>,
+    idle: Vec<OutboundConnection>,
 }
 
 /// Result of asking for a connection.
 pub enum Checkout {
     /// An idle connection.
-    Idle(Conn),
+    Idle(OutboundConnection),
     /// Permission to open a connection to this address.
-    Connect(SocketAddr, Held),
+    Connect(SocketAddr, CountGuard),
 }
 
 /// All servers by id, with the connections to each.
@@ -50,7 +50,7 @@
     /// Ids of removed servers without outstanding attempts, for reuse.
     free_ids: RefCell<Vec<ServerId>>,
     zones: RefCell<Zones>,
-    descriptors: Rc<Descriptors>,
+    descriptors: Rc<DescriptorBudget>,
     /// Longest time for which an idle connection is kept.
     max_idle: Duration,
     /// Time limit for establishing a connection.
@@ -59,7 +59,7 @@
 
 impl ServerPools {
     /// Pools without any server.
-    pub fn new(setup: &HostSettings, descriptors: Rc<Descriptors>) -> Self {
+    pub fn new(setup: &HostSettings, descriptors: Rc<DescriptorBudget>) -> Self {
         ServerPools {
             servers: RefCell::default(),
             ids: RefCell::default(),
@@ -158,32 +158,32 @@
         // The connection used last is the least likely to be closed by the server soon, and the others can reach the
         // idle limit.
         for index in (0..server.idle.len()).rev() {
-            if server.idle[index].idle() < MIN_IDLE {
+            if server.idle[index].idle_time() < MIN_IDLE {
                 continue;
             }
             let conn = server.idle.remove(index);
-            if conn.idle() < self.max_idle && conn.quiet() {
+            if conn.idle_time() < self.max_idle && conn.nothing_pending() {
                 return Some(Checkout::Idle(conn));
             }
         }
         let address = server.address?;
         // At the limit of open connections, the one that has been idle longest at any server is closed.
         loop {
-            if let Some(held) = self.descriptors.try_hold(Owner::Servers) {
+            if let Some(held) = self.descriptors.try_acquire(Owner::Servers) {
                 return Some(Checkout::Connect(address, held));
             }
             let oldest =
-                servers.iter_mut().filter(|s| !s.idle.is_empty()).max_by_key(|s| s.idle[0].idle())?;
+                servers.iter_mut().filter(|s| !s.idle.is_empty()).max_by_key(|s| s.idle[0].idle_time())?;
             oldest.idle.remove(0);
         }
     }
 
     /// Keeps a connection for a later attempt, if it still leads to a server in service.
-    pub fn give_back(&self, id: ServerId, mut conn: Conn) {
+    pub fn give_back(&self, id: ServerId, mut conn: OutboundConnection) {
         if let Some(server) =
-            self.servers.borrow_mut().get_mut(id).filter(|s| s.in_service && s.address == Some(conn.to))
+            self.servers.borrow_mut().get_mut(id).filter(|s| s.in_service && s.address == Some(conn.address))
         {
-            conn.rest();
+            conn.mark_idle();
             server.idle.push(conn);
         }
     }
@@ -227,16 +227,16 @@
     pub fn seems_up_since(&self, id: ServerId, since: Instant) -> bool {
         let servers = self.servers.borrow();
         let Some(server) = servers.get(id).filter(|server| !server.removed) else { return false };
-        let states: Vec<IdleState> = server.idle.iter().map(Conn::idle_state).collect();
-        let reset = server.reset_at.is_some_and(|at| at >= since) || states.contains(&IdleState::Broken);
-        let all_ended = !states.is_empty() && states.iter().all(|state| *state == IdleState::Ended);
+        let states: Vec<SocketState> = server.idle.iter().map(OutboundConnection::socket_state).collect();
+        let reset = server.reset_at.is_some_and(|at| at >= since) || states.contains(&SocketState::Failed);
+        let all_ended = !states.is_empty() && states.iter().all(|state| *state == SocketState::PeerClosed);
         !reset && !all_ended
     }
 
     /// Closes connections that have been idle for too long or were closed by the server.
     pub fn prune(&self) {
         for server in self.servers.borrow_mut().iter_mut() {
-            server.idle.retain(|conn| conn.idle() < self.max_idle && conn.quiet());
+            server.idle.retain(|conn| conn.idle_time() < self.max_idle && conn.nothing_pending());
         }
     }
 }
