--- a/limeway/tests/common/client.rs
+++ b/limeway/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! Clients, and what they ask.
+//! Client connections to the limiter, and the requests that they send.
 
 use super::*;
 use std::io::{BufReader, Write};
@@ -12,38 +12,38 @@
 }
 
 impl Client {
-    /// A client over a connection that is open.
-    pub fn over(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
-        stream.set_nodelay(true).expect("no delay");
-        let reader = BufReader::new(stream.try_clone().expect("a second handle"));
+    /// Wraps an open connection.
+    pub fn new(stream: TcpStream) -> Self {
+        stream.set_read_timeout(Some(TIMEOUT)).expect("read time-out is set");
+        stream.set_nodelay(true).expect("TCP_NODELAY is set");
+        let reader = BufReader::new(stream.try_clone().expect("stream is cloned"));
         Client { stream, reader }
     }
 
-    /// Writes bytes as they are; the other side may have closed.
+    /// Writes text as it is; errors are ignored, as the limiter may have closed the connection.
     pub fn write(&mut self, text: &str) {
         let _ = self.stream.write_all(text.as_bytes());
     }
 
-    /// Asks whether the limiter is ready.
-    pub fn is_told_ready(&mut self) -> bool {
+    /// Sends a health check; true if the limiter reports that it is ready.
+    pub fn health_check(&mut self) -> bool {
         self.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
-        self.read().is_some_and(|a| a.status() == 200)
+        self.read_response().is_some_and(|response| response.status() == 200)
     }
 
-    /// Reads an answer; nothing where the connection ends.
-    pub fn read(&mut self) -> Option<Message> {
-        read(&mut self.reader)
+    /// Reads a response; `None` if the connection ends before one is complete.
+    pub fn read_response(&mut self) -> Option<Message> {
+        read_message(&mut self.reader)
     }
 
-    /// Sends a request and reads its answer.
-    pub fn ask(&mut self, request: &str) -> Message {
+    /// Sends a request and reads its response.
+    pub fn exchange(&mut self, request: &str) -> Message {
         self.write(request);
-        self.read().expect("an answer")
+        self.read_response().expect("a response")
     }
 }
 
-/// A request for customer 0xb4d65521 of a class, as a client sends it.
+/// A request of the given class for customer 0xb4d65521, as a client sends it.
 pub fn request(class: &str, id: &str, plan: &str, deadline_ms: u64) -> String {
     let (method, more) = match class {
         "look" => ("GET", ""),
@@ -57,23 +57,25 @@
     )
 }
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Debug, Clone, Copy)]
-pub enum Leaving {
-    Closes,
-    HalfCloses,
-    Resets,
+pub enum Disconnect {
+    Close,
+    /// Ends only the client's sending; it could still read.
+    HalfClose,
+    Reset,
 }
 
-/// Lets a client leave.
-pub fn leave(client: &Client, how: Leaving) {
+/// Disconnects a client. A reset is sent only once the client is dropped.
+pub fn disconnect(client: &Client, how: Disconnect) {
     match how {
-        Leaving::Closes => client.stream.shutdown(Shutdown::Both).expect("it closes"),
-        Leaving::HalfCloses => client.stream.shutdown(Shutdown::Write).expect("it closes one way"),
-        Leaving::Resets => {
-            // A close with nothing lingering is a reset; the reader's handle must not hold the socket open.
+        Disconnect::Close => client.stream.shutdown(Shutdown::Both).expect("connection is shut down"),
+        Disconnect::HalfClose => client.stream.shutdown(Shutdown::Write).expect("sending is shut down"),
+        Disconnect::Reset => {
+            // With a linger time of zero, closing the last handle to the socket (the reader has one, too) sends a
+            // reset.
             let socket = socket2::SockRef::from(&client.stream);
-            socket.set_linger(Some(Duration::ZERO)).expect("no lingering");
+            socket.set_linger(Some(Duration::ZERO)).expect("SO_LINGER is set");
         }
     }
 }
--- a/limeway/tests/common/discovery.rs
+++ b/limeway/tests/common/discovery.rs
@@ -1,4 +1,6 @@
-//! Stand-ins for discovery, and the lists that it gives.
+//! Stand-ins for discovery, and the server lists that they return. A watch is a long poll: a call that names the
+//! version held (`from=`) and how long to wait for changes to it (`hold_ms=`). So a watch from a version shows that the
+//! limiter has applied the list of that version.
 
 use super::*;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -7,120 +9,121 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An entry of discovery's list.
-pub fn entry(host: &str, dial: SocketAddr, health: &str) -> String {
+/// A row of discovery's list: one server.
+pub fn server_row(host: &str, dial: SocketAddr, health: &str) -> String {
     format!(
         r#"{{"host":"{host}","dial":"{dial}","site":"a","class":"m","block":1,"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
-/// A list for discovery.
-pub fn list(seq: u64, whole: bool, entries: &[String]) -> String {
-    format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
+/// A list of servers: a full one if `whole`, else the rows that have changed.
+pub fn server_list(seq: u64, whole: bool, rows: &[String]) -> String {
+    format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, rows.join(","))
 }
 
-/// Discovery that gives a whole list; what is sent through the channel answers a watch.
-pub fn discovery(whole: String) -> (Server, Sender<String>) {
-    discovery_at(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), whole)
+/// Starts a discovery stand-in that returns this full list. Each watch waits for a list from the returned sender and
+/// is answered with it.
+pub fn discovery_stand_in(full_list: String) -> (StandIn, Sender<String>) {
+    discovery_stand_in_at(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), full_list)
 }
 
-/// The same at an address.
-pub fn discovery_at(at: SocketAddr, whole: String) -> (Server, Sender<String>) {
-    let (news, pending) = channel::<String>();
+/// Starts the same stand-in at a given address.
+pub fn discovery_stand_in_at(address: SocketAddr, full_list: String) -> (StandIn, Sender<String>) {
+    let (updates, pending) = channel::<String>();
     let pending = Mutex::new(pending);
-    let served = server_at(at, move |_, message, stream| {
-        // A call that will not wait is answered with the whole list, as a discovery may that is asked from far back.
-        if message.line.contains("from=") && !message.line.contains("hold_ms=1 ") {
-            let pending = pending.lock().expect("no panic while it is held");
+    let discovery = stand_in_at(address, move |_, message, stream| {
+        // A call that will not wait gets the full list: discovery may return that if the version held is an old one.
+        if message.start_line.contains("from=") && !message.start_line.contains("hold_ms=1 ") {
+            let pending = pending.lock().expect("lock is not poisoned");
             match pending.recv() {
-                Ok(list) => reply(stream, "200 OK", &list),
+                Ok(list) => write_response(stream, "200 OK", &list),
                 Err(_) => thread::park(),
             }
         } else {
-            reply(stream, "200 OK", &whole);
+            write_response(stream, "200 OK", &full_list);
         }
     });
-    (served, news)
+    (discovery, updates)
 }
 
-/// What discovery does with calls.
+/// How a [`FaultyDiscovery`] treats calls.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Mood {
-    /// Answers: at once where it has news, else once the wait is over.
-    Answers,
-    /// Never answers a call that comes now, nor one that waits.
+pub enum DiscoveryMode {
+    /// Responds at once if it has a change or the full list is asked for, else when the wait is over.
+    Respond,
+    /// Never responds, neither to new calls nor to those that wait.
     Silent,
-    /// Turns calls away.
-    Refuses,
+    /// Responds with status 503.
+    Unavailable,
     /// Resets connections.
-    Resets,
-    /// Answers what makes no sense.
-    Rubbish,
-    /// Answers a list of which no row makes sense.
-    Rows,
-    /// Answers each call after its turn in a line of this many milliseconds.
-    Line(u64),
+    Reset,
+    /// Responds with truncated JSON.
+    MalformedJson,
+    /// Responds with a list whose only row is malformed.
+    MalformedRows,
+    /// Responds after this many milliseconds, as if calls waited in a queue.
+    Delayed(u64),
 }
 
-/// A discovery whose mood changes; its list is of version 1, or of version 2 once there is a change.
-pub struct Moody {
-    pub server: Server,
-    state: Arc<Mutex<(Mood, Option<String>)>>,
-    /// When a call was answered with the change.
-    pub told: Receiver<Instant>,
+/// A discovery stand-in whose mode can be changed. Its list has version 1, then version 2 once it has a change.
+pub struct FaultyDiscovery {
+    pub server: StandIn,
+    state: Arc<Mutex<(DiscoveryMode, Option<String>)>>,
+    /// Receives the time of each response that contained the change.
+    pub change_sent: Receiver<Instant>,
 }
 
-/// Starts such a discovery.
-pub fn moody(mood: Mood, whole: String) -> Moody {
-    let state = Arc::new(Mutex::new((mood, None::<String>)));
-    let (tell, told) = channel();
-    let tell = Mutex::new(tell);
+/// Starts a [`FaultyDiscovery`].
+pub fn faulty_discovery(mode: DiscoveryMode, full_list: String) -> FaultyDiscovery {
+    let state = Arc::new(Mutex::new((mode, None::<String>)));
+    let (notify_sent, change_sent) = channel();
+    let notify_sent = Mutex::new(notify_sent);
     let shared = state.clone();
-    let server = server(move |_, message, stream| {
+    let server = stand_in(move |_, message, stream| {
         let value = |name: &str| {
-            let found = message.line.split(['?', '&', ' ']).find_map(|p| p.strip_prefix(name));
+            let found = message.start_line.split(['?', '&', ' ']).find_map(|p| p.strip_prefix(name));
             found.and_then(|v| v.parse::<u64>().ok())
         };
         let (from, until) =
             (value("from="), Instant::now() + Duration::from_millis(value("hold_ms=").unwrap_or(0)));
         loop {
-            let (mood, change) = shared.lock().expect("no panic while it is held").clone();
-            match mood {
-                Mood::Silent => thread::park(),
-                Mood::Refuses => return reply(stream, "503 Busy", ""),
-                Mood::Resets => return reset(stream),
-                Mood::Rubbish => return reply(stream, "200 OK", r#"{"seq":"#),
-                Mood::Rows => {
-                    return reply(stream, "200 OK", r#"{"seq":1,"whole":true,"hosts":[{"host":3}]}"#)
+            let (mode, change) = shared.lock().expect("lock is not poisoned").clone();
+            match mode {
+                DiscoveryMode::Silent => thread::park(),
+                DiscoveryMode::Unavailable => return write_response(stream, "503 Busy", ""),
+                DiscoveryMode::Reset => return reset(stream),
+                DiscoveryMode::MalformedJson => return write_response(stream, "200 OK", r#"{"seq":"#),
+                DiscoveryMode::MalformedRows => {
+                    return write_response(stream, "200 OK", r#"{"seq":1,"whole":true,"hosts":[{"host":3}]}"#)
                 }
-                Mood::Line(time) => thread::sleep(Duration::from_millis(time)),
-                Mood::Answers => {}
+                DiscoveryMode::Delayed(ms) => thread::sleep(Duration::from_millis(ms)),
+                DiscoveryMode::Respond => {}
             }
             match (change, from) {
                 (Some(change), from) if from != Some(2) => {
-                    reply(stream, "200 OK", &change);
-                    let _ = tell.lock().expect("no panic while it is held").send(Instant::now());
+                    write_response(stream, "200 OK", &change);
+                    let _ = notify_sent.lock().expect("lock is not poisoned").send(Instant::now());
                     return;
                 }
-                (_, None) => return reply(stream, "200 OK", &whole),
+                (_, None) => return write_response(stream, "200 OK", &full_list),
                 (_, Some(from)) if Instant::now() >= until => {
-                    return reply(stream, "200 OK", &list(from, false, &[]));
+                    return write_response(stream, "200 OK", &server_list(from, false, &[]));
                 }
                 _ => thread::sleep(Duration::from_millis(5)),
             }
         }
     });
-    Moody { server, state, told }
+    FaultyDiscovery { server, state, change_sent }
 }
 
-impl Moody {
-    /// Another mood from now on.
-    pub fn turn(&self, mood: Mood) {
-        self.state.lock().expect("no panic while it is held").0 = mood;
+impl FaultyDiscovery {
+    /// Changes the mode, also for calls that wait.
+    pub fn set_mode(&self, mode: DiscoveryMode) {
+        self.state.lock().expect("lock is not poisoned").0 = mode;
     }
 
-    /// It can be reached from now on, and has had this change before.
-    pub fn changes(&self, change: String) {
-        *self.state.lock().expect("no panic while it is held") = (Mood::Answers, Some(change));
+    /// Responds from now on, and has this change.
+    pub fn recover_with(&self, change: String) {
+        *self.state.lock().expect("lock is not poisoned") = (DiscoveryMode::Respond, Some(change));
     }
 }
--- a/limeway/tests/common/limiter.rs
+++ b/limeway/tests/common/limiter.rs
@@ -1,4 +1,4 @@
-//! The limiter as a process.
+//! The limiter as a process: its configuration, start, signals and end.
 
 use super::*;
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -9,73 +9,76 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a limiter is told of the servers at its start.
-pub enum Known {
-    /// All, in service.
-    Servers,
+/// The server list in the limiter's configuration (key `known`).
+pub enum KnownServers {
+    /// All servers of the setup, as `SERVING`.
+    All,
     /// These rows.
     Rows(Vec<String>),
-    /// Nothing.
+    /// The key is left out.
     Absent,
 }
 
-/// A limiter to be started.
-pub struct Setup {
+/// Configuration of a limiter to be started.
+pub struct LimiterSetup {
+    /// Host name and address of each server.
     pub servers: Vec<(String, SocketAddr)>,
+    /// If `None`, the limiter gets a discovery stand-in that returns all `servers` as `SERVING`.
     pub discovery: Option<SocketAddr>,
     pub counter: SocketAddr,
+    /// Descriptor limit, in the configuration and of the process.
     pub sockets: usize,
     pub keepalive_us: u64,
-    pub permissions: String,
+    /// Further members of `settings.permissions`, with a leading comma. They override those before.
+    pub extra_permissions: String,
     pub seed: u64,
-    /// Discovery must be asked.
-    pub ask: bool,
-    /// Limiters in the fleet.
+    /// Whether `settings.discovery` is "ask" (the limiter has to poll) instead of "push".
+    pub ask_mode: bool,
+    /// Number of limiters in the fleet.
     pub gateways: u32,
-    pub known: Known,
+    pub known: KnownServers,
     pub memory_mb: u32,
-    /// Zones that the settings name.
+    /// Zone names in the settings.
     pub zones: Vec<String>,
-    /// Time for which servers drop repeats of a keyed request.
+    /// Time for which servers remember an idempotency key.
     pub key_window_us: u64,
 }
 
-impl Setup {
-    /// A limiter of two, with these servers.
-    pub fn new(servers: &[&Server], counter: &Server) -> Self {
+impl LimiterSetup {
+    /// One of two limiters, with these servers as hosts `s-0`, `s-1` and so on.
+    pub fn new(servers: &[&StandIn], counter: &StandIn) -> Self {
         let servers = servers.iter().enumerate().map(|(n, s)| (format!("s-{n}"), s.address)).collect();
-        Setup {
+        LimiterSetup {
             servers,
             discovery: None,
             counter: counter.address,
             sockets: 1024,
             keepalive_us: 30_000_000,
-            permissions: String::new(),
+            extra_permissions: String::new(),
             seed: 0x8c1f_30d2_7a5b_e964,
-            ask: false,
+            ask_mode: false,
             gateways: 2,
-            known: Known::Servers,
+            known: KnownServers::All,
             memory_mb: 192,
             zones: vec!["a".into()],
             key_window_us: 8_000_000,
         }
     }
 
-    /// Another seed than the usual one.
+    /// Replaces the default seed.
     pub fn seed(self, seed: u64) -> Self {
-        Setup { seed, ..self }
+        LimiterSetup { seed, ..self }
     }
 
-    /// The configuration as JSON.
-    pub fn json(&self, listen: SocketAddr, discovery: SocketAddr, peers: &[SocketAddr]) -> String {
-        let entries: Vec<String> = self.servers.iter().map(|(h, a)| entry(h, *a, "SERVING")).collect();
+    /// The configuration as JSON. `peers` are the addresses of the limiters, its own one first.
+    pub fn config_json(&self, listen: SocketAddr, discovery: SocketAddr, peers: &[SocketAddr]) -> String {
         let known = match &self.known {
-            Known::Servers => format!(r#""known":{},"#, list(1, true, &entries)),
-            Known::Rows(rows) => format!(r#""known":{},"#, list(1, true, rows)),
-            Known::Absent => String::new(),
+            KnownServers::All => format!(r#""known":{},"#, server_list(1, true, &self.serving_rows())),
+            KnownServers::Rows(rows) => format!(r#""known":{},"#, server_list(1, true, rows)),
+            KnownServers::Absent => String::new(),
         };
         let gateways = self.gateways;
-        // The other limiters of a large fleet need not be there: datagrams to them are lost.
+        // Nothing listens at the addresses of the other limiters of a large fleet: datagrams to them are lost.
         let absent = (peers.len() as u32..gateways).map(|n| format!("\"127.0.0.1:{}\"", 20_000 + n));
         let peers: Vec<String> = peers.iter().map(|p| format!("\"{p}\"")).chain(absent).collect();
         format!(
@@ -98,83 +101,96 @@
             peers.first().map_or("\"127.0.0.1:0\"".into(), String::clone),
             peers.join(","),
             self.counter,
-            if self.ask { "ask" } else { "push" },
+            if self.ask_mode { "ask" } else { "push" },
             self.zones,
             self.keepalive_us,
-            self.permissions,
+            self.extra_permissions,
             self.key_window_us,
         )
     }
 
+    /// A list row for each server, as `SERVING`.
+    fn serving_rows(&self) -> Vec<String> {
+        self.servers.iter().map(|(host, address)| server_row(host, *address, "SERVING")).collect()
+    }
+
     /// Starts the limiter and waits until it is ready.
     pub fn start(&self) -> Limiter {
-        let limiter = self.launch();
-        limiter.wait_ready();
+        let limiter = self.spawn();
+        limiter.wait_until_ready();
         limiter
     }
 
-    /// Starts the limiter.
-    pub fn launch(&self) -> Limiter {
-        let (own, other) = (udp(), udp());
-        let peers = [own.local_addr().expect("an address"), other.local_addr().expect("an address")];
-        drop(own);
-        let (listen, stand_in) = (free_port(), self.discovery.is_none());
-        let entries: Vec<String> = self.servers.iter().map(|(h, a)| entry(h, *a, "SERVING")).collect();
-        let stood = stand_in.then(|| discovery(list(1, true, &entries)));
-        let at = self.discovery.or(stood.as_ref().map(|s| s.0.address)).expect("discovery");
-        let config = self.json(listen, at, &peers);
-        let path = place(&config);
+    /// Starts the limiter without waiting for it.
+    pub fn spawn(&self) -> Limiter {
+        let (own_socket, peer_socket) = (udp_socket(), udp_socket());
+        let peers = [
+            own_socket.local_addr().expect("a local address"),
+            peer_socket.local_addr().expect("a local address"),
+        ];
+        // The limiter binds this address.
+        drop(own_socket);
+        let listen = unused_address();
+        let discovery = match self.discovery {
+            Some(_) => None,
+            None => Some(discovery_stand_in(server_list(1, true, &self.serving_rows()))),
+        };
+        let discovery_address =
+            self.discovery.or(discovery.as_ref().map(|d| d.0.address)).expect("a discovery address");
+        let config = self.config_json(listen, discovery_address, &peers);
+        let path = write_config_file(&config);
         Limiter {
-            child: start(limited(self.sockets).env("ROUTER_CONFIG", &path)),
+            child: spawn_exclusively(command_with_descriptor_limit(self.sockets).env("ROUTER_CONFIG", &path)),
             config,
             path,
             address: listen,
-            peer: other,
+            peer_socket,
             peer_listen: peers[0],
-            _discovery: stood,
+            _discovery: discovery,
         }
     }
 }
 
-fn udp() -> UdpSocket {
-    let socket = UdpSocket::bind((own_ip(), 0)).expect("a port");
-    socket.set_read_timeout(Some(LONG)).expect("a time-out");
+fn udp_socket() -> UdpSocket {
+    let socket = UdpSocket::bind((unique_loopback_ip(), 0)).expect("a free port");
+    socket.set_read_timeout(Some(TIMEOUT)).expect("read time-out is set");
     socket
 }
 
-/// Puts a configuration into a file of its own.
-fn place(config: &str) -> PathBuf {
+/// Writes a configuration to a new temporary file.
+fn write_config_file(config: &str) -> PathBuf {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("limeway-{}-{number}.json", std::process::id()));
-    std::fs::write(&path, config).expect("the configuration is written");
+    std::fs::write(&path, config).expect("configuration is written");
     path
 }
 
-/// Starts the program with a configuration, which it gets as a file.
-pub fn spawn(config: &str) -> Child {
-    start(command().env("ROUTER_CONFIG", place(config)))
+/// Starts the program with the given configuration file contents.
+pub fn spawn_with_config(config: &str) -> Child {
+    spawn_exclusively(limeway_command().env("ROUTER_CONFIG", write_config_file(config)))
 }
 
-/// The program, with nothing of the test's own environment that it would read.
-pub fn command() -> Command {
-    bare(Command::new(env!("CARGO_BIN_EXE_limeway")))
+/// Command for the program, without a configuration.
+pub fn limeway_command() -> Command {
+    isolate(Command::new(env!("CARGO_BIN_EXE_limeway")))
 }
 
-/// The same, and the system gives it no more descriptors than its configuration.
-fn limited(sockets: usize) -> Command {
+/// Command for the program, with the system's descriptor limit set to that of the configuration.
+fn command_with_descriptor_limit(sockets: usize) -> Command {
     let mut command = Command::new("sh");
     command.arg("-c").arg(format!("ulimit -n {sockets}; exec \"$0\"")).arg(env!("CARGO_BIN_EXE_limeway"));
-    bare(command)
+    isolate(command)
 }
 
-/// Starts a process, alone: see `starting`.
-pub fn start(command: &mut Command) -> Child {
-    let _alone = starting();
-    command.spawn().expect("it starts")
+/// Starts a process while holding [`spawn_lock`].
+pub fn spawn_exclusively(command: &mut Command) -> Child {
+    let _lock = spawn_lock();
+    command.spawn().expect("process starts")
 }
 
-fn bare(mut command: Command) -> Command {
+/// Removes the variables that the program reads from its environment, and captures its standard error.
+fn isolate(mut command: Command) -> Command {
     for name in ["ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG"] {
         command.env_remove(name);
     }
@@ -182,116 +198,120 @@
     command
 }
 
-/// Waits for the end of a process, within bounds, and gives what it wrote.
-pub fn end_of(mut child: Child) -> Output {
-    let end = Instant::now() + LONG;
-    while child.try_wait().expect("a child").is_none() {
+/// Waits until a process has exited, killing it after the time-out, and returns its output.
+pub fn wait_for_output(mut child: Child) -> Output {
+    let end = Instant::now() + TIMEOUT;
+    while child.try_wait().expect("process status").is_none() {
         if Instant::now() > end {
             let _ = child.kill();
         }
         thread::sleep(Duration::from_millis(5));
     }
-    child.wait_with_output().expect("it has ended")
+    child.wait_with_output().expect("process output")
 }
 
 /// A running limiter.
 pub struct Limiter {
     pub child: Child,
-    /// The configuration that it was started with, and the file that holds it.
+    /// The configuration that it was started with.
     pub config: String,
+    /// The file that holds its configuration.
     pub path: PathBuf,
+    /// Where it accepts clients.
     pub address: SocketAddr,
-    /// The other limiter's socket.
-    pub peer: UdpSocket,
+    /// Socket of the other limiter, on which the test stands in for it.
+    pub peer_socket: UdpSocket,
+    /// Where it receives datagrams of other limiters.
     pub peer_listen: SocketAddr,
-    _discovery: Option<(Server, Sender<String>)>,
+    _discovery: Option<(StandIn, Sender<String>)>,
 }
 
 impl Limiter {
-    /// Whether it listens and says that it is ready.
+    /// Whether it accepts connections and reports that it is ready.
     pub fn is_ready(&self) -> bool {
-        TcpStream::connect(self.address).is_ok_and(|stream| Client::over(stream).is_told_ready())
+        TcpStream::connect(self.address).is_ok_and(|stream| Client::new(stream).health_check())
     }
 
     /// Waits until it is ready.
-    pub fn wait_ready(&self) {
-        let end = Instant::now() + LONG;
+    pub fn wait_until_ready(&self) {
+        let end = Instant::now() + TIMEOUT;
         while Instant::now() < end {
             if self.is_ready() {
                 return;
             }
             thread::sleep(Duration::from_millis(5));
         }
-        panic!("the limiter is not ready");
+        panic!("the limiter is not ready after {TIMEOUT:?}");
     }
 
-    /// A client's connection.
+    /// Opens a client connection.
     pub fn client(&self) -> Client {
         match TcpStream::connect(self.address) {
-            Ok(stream) => Client::over(stream),
+            Ok(stream) => Client::new(stream),
             Err(e) => {
-                // Its state, and by the last figure how it ended if it did.
+                // Shows the state of the process; the last figure is its exit status if it has ended.
                 let process = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()));
-                panic!("no connection to {}: {e}; process: {process:?}", self.address)
+                panic!("cannot connect to {}: {e}; /proc/PID/stat: {process:?}", self.address)
             }
         }
     }
 
     fn signal(&self, name: &str) {
-        let mut kill = start(Command::new("kill").args([name, &self.child.id().to_string()]));
-        assert!(kill.wait().expect("kill runs").success());
+        let mut kill = spawn_exclusively(Command::new("kill").args([name, &self.child.id().to_string()]));
+        assert!(kill.wait().expect("exit status of kill").success());
     }
 
-    /// Asks it to end.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Stops the process where it is.
+    /// Stops the process with SIGSTOP.
     pub fn pause(&self) {
         self.signal("-STOP");
     }
 
-    /// Lets a stopped process go on.
+    /// Continues a stopped process with SIGCONT.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// Replaces its configuration and tells it so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         let new = self.path.with_extension("new");
-        std::fs::write(&new, config).expect("the configuration is written");
-        std::fs::rename(&new, &self.path).expect("it is put in place");
+        std::fs::write(&new, config).expect("configuration is written");
+        std::fs::rename(&new, &self.path).expect("configuration file is replaced");
         self.signal("-HUP");
     }
 
-    /// Tells it to take in its configuration anew, as the file stands.
-    pub fn hang_up(&self) {
+    /// Sends SIGHUP: the limiter reads its configuration file again.
+    pub fn send_sighup(&self) {
         self.signal("-HUP");
     }
 
-    /// Waits for its end.
-    pub fn wait(&mut self) -> ExitStatus {
-        let end = Instant::now() + LONG;
+    /// Waits until the process has exited.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let end = Instant::now() + TIMEOUT;
         while Instant::now() < end {
-            if let Some(status) = self.child.try_wait().expect("a child") {
+            if let Some(status) = self.child.try_wait().expect("process status") {
                 return status;
             }
             thread::sleep(Duration::from_millis(5));
         }
-        panic!("the limiter does not end");
+        panic!("the limiter has not exited after {TIMEOUT:?}");
     }
 
-    /// Most memory that it has held, in megabytes.
-    pub fn peak_mb(&self) -> u64 {
-        let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
-        let line = text.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("its peak");
+    /// Peak resident memory of the process, in megabytes.
+    pub fn peak_memory_mb(&self) -> u64 {
+        let text =
+            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("process is running");
+        let line = text.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("a VmHWM line");
         line.trim().trim_end_matches(" kB").parse::<u64>().expect("a number") / 1024
     }
 
-    /// Whether it still answers.
-    pub fn alive(&self) -> bool {
-        self.client().is_told_ready()
+    /// Whether a new connection is accepted and the limiter reports that it is ready.
+    pub fn passes_health_check(&self) -> bool {
+        self.client().health_check()
     }
 }
 
@@ -302,7 +322,8 @@
     }
 }
 
-/// The limiter has run two turns since now: what reached its sockets before has been taken in.
-pub fn turns(limiter: &Limiter) {
-    assert!(limiter.alive() && limiter.alive());
+/// Waits until the limiter's event loop has run twice, by two health checks on new connections: whatever had reached
+/// its sockets before this call has been read by then.
+pub fn wait_two_loop_iterations(limiter: &Limiter) {
+    assert!(limiter.passes_health_check() && limiter.passes_health_check());
 }
--- a/limeway/tests/common/mod.rs
+++ b/limeway/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A limiter as a process on loopback sockets, with stand-ins for servers, counter and discovery.
-//! Every wait is for an event, bounded generously; every port is given by the system.
-#![allow(dead_code, unused_imports)] // Each test file uses its own part of this.
+//! Support for tests that run the limiter as a process on loopback sockets, with stand-ins for servers, the counter
+//! and discovery. Every wait is for an event and has a generous time-out; every port is assigned by the system.
+#![allow(dead_code, unused_imports)] // Each test file uses only some of these items.
 
 mod client;
 mod discovery;
@@ -17,5 +17,5 @@
 pub use stand_ins::*;
 use std::time::Duration;
 
-/// Bound on every wait: far above what a loaded machine needs.
-pub const LONG: Duration = Duration::from_secs(20);
+/// Time-out of every wait: far above what a loaded machine needs.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
--- a/limeway/tests/common/stand_ins.rs
+++ b/limeway/tests/common/stand_ins.rs
@@ -10,121 +10,129 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a server does with a request.
-pub type Serve = dyn Fn(usize, &Message, &mut TcpStream) + Send + Sync;
+/// Handles one request: gets the number of its connection (from 0), the request and the stream to respond on.
+pub type Handler = dyn Fn(usize, &Message, &mut TcpStream) + Send + Sync;
 
-/// A stand-in that listens; it passes on each request that it gets.
-pub struct Server {
+/// A listening stand-in. `requests` receives each request that it reads, with the number of its connection.
+pub struct StandIn {
     pub address: SocketAddr,
     pub requests: Receiver<(usize, Message)>,
 }
 
-/// Starts a stand-in; `serve` gets the number of the connection, the request and the stream.
-pub fn server(serve: impl Fn(usize, &Message, &mut TcpStream) + Send + Sync + 'static) -> Server {
-    server_at(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), serve)
+/// Starts a stand-in that passes each request to `handler`, one thread for each connection.
+pub fn stand_in(handler: impl Fn(usize, &Message, &mut TcpStream) + Send + Sync + 'static) -> StandIn {
+    stand_in_at(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), handler)
 }
 
-/// The same at an address.
-pub fn server_at(
-    at: SocketAddr,
-    serve: impl Fn(usize, &Message, &mut TcpStream) + Send + Sync + 'static,
-) -> Server {
-    let listener = TcpListener::bind(at).expect("a port");
-    let address = listener.local_addr().expect("its address");
-    let (tell, requests) = channel();
-    let serve: Arc<Serve> = Arc::new(serve);
+/// Starts a stand-in at a given address.
+pub fn stand_in_at(
+    address: SocketAddr,
+    handler: impl Fn(usize, &Message, &mut TcpStream) + Send + Sync + 'static,
+) -> StandIn {
+    let listener = TcpListener::bind(address).expect("address is bound");
+    let address = listener.local_addr().expect("a local address");
+    let (received, requests) = channel();
+    let handler: Arc<Handler> = Arc::new(handler);
     thread::spawn(move || {
         for (number, stream) in listener.incoming().enumerate() {
             let Ok(stream) = stream else { return };
-            let (tell, serve) = (tell.clone(), serve.clone());
-            thread::spawn(move || connection(number, stream, &tell, &*serve));
+            let (received, handler) = (received.clone(), handler.clone());
+            thread::spawn(move || serve_connection(number, stream, &received, &*handler));
         }
     });
-    Server { address, requests }
+    StandIn { address, requests }
 }
 
-fn connection(number: usize, mut stream: TcpStream, tell: &Sender<(usize, Message)>, serve: &Serve) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
-    while let Some(message) = read(&mut reader) {
-        let _ = tell.send((number, message.clone()));
-        serve(number, &message, &mut stream);
+fn serve_connection(
+    number: usize,
+    mut stream: TcpStream,
+    received: &Sender<(usize, Message)>,
+    handler: &Handler,
+) {
+    let mut reader = BufReader::new(stream.try_clone().expect("stream is cloned"));
+    while let Some(message) = read_message(&mut reader) {
+        let _ = received.send((number, message.clone()));
+        handler(number, &message, &mut stream);
     }
 }
 
-/// Writes an answer with a body.
-pub fn reply(stream: &mut TcpStream, head: &str, body: &str) {
+/// Writes a response with a body; `head` is its status and reason, and may go on with header lines.
+pub fn write_response(stream: &mut TcpStream, head: &str, body: &str) {
     let _ = write!(stream, "HTTP/1.1 {head}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
 }
 
-/// Ends a connection in both directions, for all handles to it.
-pub fn hang_up(stream: &TcpStream) {
+/// Shuts down a connection in both directions, for all handles to it.
+pub fn close(stream: &TcpStream) {
     let _ = stream.shutdown(std::net::Shutdown::Both);
 }
 
-/// Resets a connection once the stand-in is done with it: its end of reading lets go of all handles to it, and with
-/// nothing lingering the last close is a reset. An end of sending would be seen first, as an orderly end.
+/// Resets a connection as soon as the handler returns: shutting down the receiving side makes the stand-in drop its
+/// handles, and with a linger time of zero the last close sends a reset. Shutting down the sending side instead would
+/// send an orderly end first.
 pub fn reset(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
     let _ = stream.shutdown(std::net::Shutdown::Read);
 }
 
-/// A counter that adds up each name.
-pub fn counter() -> Server {
+/// Starts a counter stand-in that keeps a total for each name.
+pub fn counter_stand_in() -> StandIn {
     let totals = Mutex::new(std::collections::HashMap::<String, f64>::new());
-    server(move |_, message, stream| {
-        let target = message.line.split(' ').nth(1).expect("a target");
+    stand_in(move |_, message, stream| {
+        let target = message.start_line.split(' ').nth(1).expect("a request target");
         let (name, query) = target.split_once('?').expect("a query");
         let add = query.split('&').find_map(|p| p.strip_prefix("add=")).expect("an amount");
         let total = {
-            let mut totals = totals.lock().expect("no panic while it is held");
+            let mut totals = totals.lock().expect("lock is not poisoned");
             let total = totals.entry(name.to_owned()).or_default();
             *total += add.parse::<f64>().expect("a number");
             *total
         };
-        reply(stream, "200 OK", &total.to_string());
+        write_response(stream, "200 OK", &total.to_string());
     })
 }
 
-/// Serves whatever comes.
-pub fn ok(_: usize, _: &Message, stream: &mut TcpStream) {
-    reply(stream, "200 OK", "served");
+/// Handler that responds to every request with 200.
+pub fn serve_ok(_: usize, _: &Message, stream: &mut TcpStream) {
+    write_response(stream, "200 OK", "served");
 }
 
-/// A server whose connections do not come up until it accepts: its backlog is full.
-pub struct Withheld {
+/// A listener with a full backlog: connections to it stay in the handshake until it starts to accept.
+pub struct FullBacklog {
     listener: TcpListener,
     pub address: SocketAddr,
+    /// The connections that fill the backlog.
     fill: Vec<Socket>,
 }
 
-impl Withheld {
-    /// Listens, with a backlog that is full.
+impl FullBacklog {
+    /// Listens and fills the backlog.
     pub fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).expect("a port");
-        // Above nought: with none, the system answers by cookies, and a connection may look up to one side only.
-        socket.listen(4).expect("it listens");
+        socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).expect("a free port");
+        // With a backlog of 0 the system uses SYN cookies, and a connection may look established to one side only.
+        socket.listen(4).expect("socket listens");
         let listener = TcpListener::from(socket);
-        let address = listener.local_addr().expect("its address");
+        let address = listener.local_addr().expect("a local address");
         let mut fill = Vec::new();
-        // The system completes connections until the backlog is full; from then on none comes up.
+        // The system completes handshakes until the backlog is full; the first connect that times out shows that it
+        // is.
         for _ in 0..16 {
             let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
             if socket.connect_timeout(&address.into(), Duration::from_millis(300)).is_err() {
-                return Withheld { listener, address, fill };
+                return FullBacklog { listener, address, fill };
             }
             fill.push(socket);
         }
-        panic!("the backlog does not fill up");
+        panic!("the backlog is not full after 16 connections");
     }
 
-    /// Waits until a connection to it is coming up, as the system's table of sockets shows.
-    pub fn wait_for_connecting(&self) {
+    /// Waits until a connection to this listener is in the handshake, by the system's socket table.
+    pub fn wait_for_pending_connect(&self) {
         const SYN_SENT: &str = "02";
         let port = format!("0100007F:{:04X}", self.address.port());
-        let end = Instant::now() + LONG;
+        let end = Instant::now() + TIMEOUT;
         loop {
-            let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of sockets");
+            let table = std::fs::read_to_string("/proc/net/tcp").expect("the socket table");
             let connecting = |line: &str| {
                 let mut columns = line.split_whitespace().skip(2);
                 columns.next() == Some(port.as_str()) && columns.next() == Some(SYN_SENT)
@@ -132,56 +140,58 @@
             if table.lines().any(connecting) {
                 return;
             }
-            assert!(Instant::now() < end, "nobody connects");
+            assert!(Instant::now() < end, "no connection to the listener is in the handshake");
             thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// Accepts from now on; tells of each connection but those that filled the backlog.
-    pub fn open(self) -> (Server, Receiver<()>) {
+    /// Starts to accept, and serves requests with 200. The receiver gets a message for each connection, except those
+    /// that filled the backlog.
+    pub fn start_accepting(self) -> (StandIn, Receiver<()>) {
         let filled = self.fill.len();
         drop(self.fill);
-        let (up, comes_up) = channel();
-        let (tell, requests) = channel();
+        let (notify_accepted, accepted) = channel();
+        let (received, requests) = channel();
         let address = self.address;
         thread::spawn(move || {
             for (number, stream) in self.listener.incoming().enumerate() {
                 let Ok(mut stream) = stream else { return };
                 if number >= filled {
-                    let _ = up.send(());
+                    let _ = notify_accepted.send(());
                 }
-                let tell = tell.clone();
+                let received = received.clone();
                 thread::spawn(move || {
-                    let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
-                    while let Some(message) = read(&mut reader) {
-                        let _ = tell.send((number, message));
-                        reply(&mut stream, "200 OK", "served");
+                    let mut reader = BufReader::new(stream.try_clone().expect("stream is cloned"));
+                    while let Some(message) = read_message(&mut reader) {
+                        let _ = received.send((number, message));
+                        write_response(&mut stream, "200 OK", "served");
                     }
                 });
             }
         });
-        (Server { address, requests }, comes_up)
+        (StandIn { address, requests }, accepted)
     }
 }
 
-/// A counter that tells of each answer once it is written: what a limiter does next is then up to the limiter.
-pub fn telling_counter() -> (Server, Receiver<()>) {
-    let (tell, answered) = channel();
+/// Starts a counter stand-in that sends a message on the receiver after each response that it has written.
+pub fn notifying_counter() -> (StandIn, Receiver<()>) {
+    let (notify_answered, answered) = channel();
     let total = AtomicU32::new(0);
-    let counter = server(move |_, _, stream| {
-        reply(stream, "200 OK", &(total.fetch_add(1, Ordering::SeqCst) + 1).to_string());
-        let _ = tell.send(());
+    let counter = stand_in(move |_, _, stream| {
+        write_response(stream, "200 OK", &(total.fetch_add(1, Ordering::SeqCst) + 1).to_string());
+        let _ = notify_answered.send(());
     });
     (counter, answered)
 }
 
-/// A server that holds each answer until it is let go.
-pub fn holding() -> (Server, Sender<()>) {
-    let (go, wait) = channel::<()>();
+/// Starts a server stand-in that holds each response until a message is sent on the sender, or it is
+/// dropped. The response body is the request's `Req-Id`.
+pub fn gated_server() -> (StandIn, Sender<()>) {
+    let (release, wait) = channel::<()>();
     let wait = Mutex::new(wait);
-    let held = server(move |_, message, stream| {
-        let _ = wait.lock().expect("no panic while it is held").recv_timeout(LONG);
-        reply(stream, "200 OK", message.header("req-id").unwrap_or_default());
+    let server = stand_in(move |_, message, stream| {
+        let _ = wait.lock().expect("lock is not poisoned").recv_timeout(TIMEOUT);
+        write_response(stream, "200 OK", message.header("req-id").unwrap_or_default());
     });
-    (held, go)
+    (server, release)
 }
--- a/limeway/tests/crowds.rs
+++ b/limeway/tests/crowds.rs
@@ -19,12 +19,12 @@
 
 /// Asks until a list that came meanwhile is in force: until the server is the one that it names.
 fn served_by(limiter: &Limiter, wanted: &str) -> usize {
-    let end = Instant::now() + LONG;
+    let end = Instant::now() + TIMEOUT;
     for n in 0.. {
         let mut client = limiter.client();
         client.write(&request("look", &format!("asks-{wanted}-{n}"), "team", 9000));
         // A connection may be closed unread for room; whoever asks again is served.
-        let answer = client.read();
+        let answer = client.read_response();
         if answer.as_ref().is_some_and(|a| a.status() == 200 && a.body == wanted) {
             return n;
         }
@@ -35,13 +35,13 @@
 
 /// Guards against a limiter that cannot open a connection of its own once clients hold all that it may have.
 #[test]
-fn a_crowd_of_idle_clients_keeps_it_from_neither_discovery_nor_counter_nor_servers() {
+fn idle_clients_do_not_block_connections_to_discovery_counter_and_servers() {
     for sockets in [256, 1_024] {
-        let named = |name: &'static str| server(move |_, _, stream| reply(stream, "200 OK", name));
-        let (old, new, counter) = (named("old"), named("new"), counter());
+        let named = |name: &'static str| stand_in(move |_, _, stream| write_response(stream, "200 OK", name));
+        let (old, new, counter) = (named("old"), named("new"), counter_stand_in());
         // Discovery is down: nobody listens there yet.
-        let down = free_port();
-        let mut setup = Setup::new(&[&old], &counter);
+        let down = unused_address();
+        let mut setup = LimiterSetup::new(&[&old], &counter);
         setup.discovery = Some(down);
         setup.sockets = sockets;
         let limiter = setup.start();
@@ -57,46 +57,46 @@
         served_by(&limiter, "old");
         assert!(counter.requests.try_iter().count() > 0, "the counter is called");
         // It is back: what it tells is in force though the crowd is still there.
-        let whole = list(9, true, &[entry("s-new", new.address, "SERVING")]);
-        let _agent = discovery_at(down, whole);
+        let whole = server_list(9, true, &[server_row("s-new", new.address, "SERVING")]);
+        let _agent = discovery_stand_in_at(down, whole);
         served_by(&limiter, "new");
         assert!(new.requests.try_iter().count() > 0);
         drop((silent, stayed));
-        assert!(limiter.alive());
+        assert!(limiter.passes_health_check());
     }
 }
 
 /// Guards against closing what is in use, and against a newer connection that goes while an older one rests.
 #[test]
-fn idle_connections_go_for_room_oldest_first_and_never_one_with_a_request_in_it() {
+fn idle_connections_are_evicted_oldest_first_and_busy_ones_never() {
     let (go, wait) = std::sync::mpsc::channel::<()>();
     let wait = std::sync::Mutex::new(wait);
-    let held = server(move |number, message, stream| {
+    let held = stand_in(move |number, message, stream| {
         if message.header("req-id") == Some("busy") {
-            let _ = wait.lock().expect("no panic while it is held").recv_timeout(LONG);
+            let _ = wait.lock().expect("no panic while it is held").recv_timeout(TIMEOUT);
         }
-        ok(number, message, stream);
+        serve_ok(number, message, stream);
     });
-    let counter = counter();
-    let mut setup = Setup::new(&[&held], &counter);
+    let counter = counter_stand_in();
+    let mut setup = LimiterSetup::new(&[&held], &counter);
     setup.sockets = 256;
     let limiter = setup.start();
     let mut busy = limiter.client();
     busy.write(&request("look", "busy", "team", 25_000));
-    held.requests.recv_timeout(LONG).expect("it is sent on");
+    held.requests.recv_timeout(TIMEOUT).expect("it is sent on");
     let mut asked: Vec<Client> = (0..10).map(|_| limiter.client()).collect();
     for (n, client) in asked.iter_mut().enumerate() {
-        assert_eq!(client.ask(&request("look", &format!("asked-{n}"), "team", 9000)).status(), 200);
+        assert_eq!(client.exchange(&request("look", &format!("asked-{n}"), "team", 9000)).status(), 200);
     }
     // Not to order events: one that has asked is left alone for 2 s.
     std::thread::sleep(Duration::from_millis(2_200));
     let mut streams: Vec<TcpStream> = asked.into_iter().map(|c| c.stream).collect();
     // Those that never asked may go as well by the time when room is short.
     streams.extend(crowd(&limiter, 90));
-    assert!(limiter.alive(), "they are accepted");
+    assert!(limiter.passes_health_check(), "they are accepted");
     std::thread::sleep(Duration::from_millis(100));
     streams.extend(crowd(&limiter, 40));
-    assert!(limiter.alive(), "the crowd was accepted before this one");
+    assert!(limiter.passes_health_check(), "the crowd was accepted before this one");
     // From the newest on, so that what goes meanwhile cannot look out of turn.
     let mut newer_ended = false;
     for (n, stream) in streams.iter_mut().enumerate().rev() {
@@ -106,35 +106,35 @@
     }
     assert!(newer_ended, "some went for room");
     go.send(()).expect("it waits");
-    assert_eq!(busy.read().map(|a| a.status()), Some(200), "the oldest of all has a request in it");
+    assert_eq!(busy.read_response().map(|a| a.status()), Some(200), "the oldest of all has a request in it");
 }
 
 /// Guards against a table that fills with clients that ask once and stay: beyond what clients need for their
 /// requests a connection ends with its answer, and not before all that came on it is answered.
 #[test]
-fn in_a_crowd_a_connection_ends_with_its_answer_and_what_came_before_is_answered() {
-    let (one, counter) = (server(ok), counter());
-    let mut setup = Setup::new(&[&one], &counter);
+fn with_many_connections_open_one_is_closed_after_its_pipelined_requests_are_answered() {
+    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
+    let mut setup = LimiterSetup::new(&[&one], &counter);
     setup.sockets = 256;
     let limiter = setup.start();
-    let few = limiter.client().ask(&request("look", "alone", "team", 9000));
+    let few = limiter.client().exchange(&request("look", "alone", "team", 9000));
     assert_eq!((few.status(), few.header("connection")), (200, None), "it is kept while there is room");
     let crowd = crowd(&limiter, 100);
     let mut client = limiter.client();
     let both = ["first", "second"].map(|id| request("look", id, "team", 9000)).concat();
-    let first = client.ask(&both);
+    let first = client.exchange(&both);
     assert_eq!((first.status(), first.header("connection")), (200, None), "another request has come");
-    let second = client.read().expect("an answer");
+    let second = client.read_response().expect("an answer");
     assert_eq!((second.status(), second.header("connection")), (200, Some("close")));
-    assert!(client.read().is_none(), "it is closed");
+    assert!(client.read_response().is_none(), "it is closed");
     drop(crowd);
 }
 
 /// Guards against work for a client that left while its connection waited to be accepted.
 #[test]
-fn a_request_whose_client_left_while_it_waited_to_be_accepted_is_not_sent_on() {
-    let ((held, go), counter) = (holding(), counter());
-    let mut setup = Setup::new(&[&held], &counter);
+fn a_request_whose_client_disconnected_before_accept_is_not_forwarded() {
+    let ((held, go), counter) = (gated_server(), counter_stand_in());
+    let mut setup = LimiterSetup::new(&[&held], &counter);
     setup.sockets = 64;
     let mut limiter = setup.start();
     // Requests that stay open take every place that clients may have.
@@ -144,21 +144,21 @@
         client.write(&request("look", &format!("busy-{n}"), "team", 15_000));
         busy.push(client);
     }
-    held.requests.recv_timeout(LONG).expect("it is sent on");
+    held.requests.recv_timeout(TIMEOUT).expect("it is sent on");
     for n in 0..8 {
         let mut client = limiter.client();
         client.write(&request("look", &format!("left-{n}"), "team", 15_000));
-        leave(&client, if n % 2 == 0 { Leaving::Closes } else { Leaving::HalfCloses });
+        disconnect(&client, if n % 2 == 0 { Disconnect::Close } else { Disconnect::HalfClose });
     }
     for _ in 0..200 {
         let _ = go.send(());
     }
     for client in &mut busy {
-        client.read();
+        client.read_response();
     }
     drop(busy);
     limiter.terminate();
-    assert!(limiter.wait().success());
+    assert!(limiter.wait_for_exit().success());
     let left = |r: &(usize, Message)| r.1.header("req-id").is_some_and(|id| id.starts_with("left"));
     let sent: Vec<_> = held.requests.try_iter().filter(left).collect();
     assert!(sent.is_empty(), "{sent:?}");
--- a/limeway/tests/protocol_forms.rs
+++ b/limeway/tests/protocol_forms.rs
@@ -21,9 +21,9 @@
 }
 
 #[test]
-fn a_request_in_any_allowed_form_arrives_unchanged() {
-    let (one, counter) = (server(ok), counter());
-    let limiter = Setup::new(&[&one], &counter).start();
+fn a_request_in_any_valid_encoding_is_forwarded_unchanged() {
+    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
+    let limiter = LimiterSetup::new(&[&one], &counter).start();
     let plain = request("book", "form", "team", 9000);
     let long = "b".repeat(BODY_MOST);
     let chunked = |body: &str| {
@@ -44,14 +44,14 @@
         let whole = text.len();
         for length in if body.len() > 100 { [whole, 4_096] } else { [whole, 1] } {
             write_in_pieces(&mut client.stream, text, length);
-            let answer = client.read().expect("an answer");
+            let answer = client.read_response().expect("an answer");
             assert_eq!(
                 (answer.status(), answer.body.as_str()),
                 (200, "served"),
                 "in pieces of {length}: {text}"
             );
-            let (_, sent) = one.requests.recv_timeout(LONG).expect("an attempt");
-            assert!(sent.line.starts_with("POST /book/00000000b4d65521?x=1 "), "{}", sent.line);
+            let (_, sent) = one.requests.recv_timeout(TIMEOUT).expect("an attempt");
+            assert!(sent.start_line.starts_with("POST /book/00000000b4d65521?x=1 "), "{}", sent.start_line);
             assert_eq!((sent.header("req-id"), sent.header("idempotency-key")), (Some("form"), Some("5c0f")));
             assert!(sent.body == *body, "in pieces of {length}: {text}");
         }
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_answer_in_any_allowed_form_comes_back_whole() {
+fn a_response_in_any_valid_encoding_is_returned_whole() {
     let long = "a".repeat(BODY_MOST);
     let forms = [
         ("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved".to_owned(), "served"),
@@ -73,10 +73,10 @@
     ];
     for (text, body) in forms {
         for length in if body.len() > 100 { [text.len(), 4_096] } else { [text.len(), 1] } {
-            let (answer, counter) = (text.clone(), counter());
-            let one = server(move |_, _, stream| write_in_pieces(stream, &answer, length));
-            let limiter = Setup::new(&[&one], &counter).start();
-            let answer = limiter.client().ask(&request("once", "form", "team", 9000));
+            let (answer, counter) = (text.clone(), counter_stand_in());
+            let one = stand_in(move |_, _, stream| write_in_pieces(stream, &answer, length));
+            let limiter = LimiterSetup::new(&[&one], &counter).start();
+            let answer = limiter.client().exchange(&request("once", "form", "team", 9000));
             assert!((answer.status(), answer.body.as_str()) == (200, body), "in pieces of {length}: {text}");
         }
     }
@@ -84,14 +84,14 @@
 
 /// Guards against a request that is too late for everything and gets no answer; servers may drop such a one unseen.
 #[test]
-fn a_request_with_very_little_time_gets_its_final_answer() {
-    let counter = counter();
-    let one = server(|_, _, _| std::thread::park());
-    let limiter = Setup::new(&[&one], &counter).start();
+fn a_request_with_a_very_short_deadline_gets_a_final_response() {
+    let counter = counter_stand_in();
+    let one = stand_in(|_, _, _| std::thread::park());
+    let limiter = LimiterSetup::new(&[&one], &counter).start();
     for class in ["look", "book", "once"] {
         let mut client = limiter.client();
         for left_ms in [1, 2, 5, 10, 19, 20, 21, 25, 50, 100] {
-            let answer = client.ask(&request(class, &format!("{class}-{left_ms}"), "team", left_ms));
+            let answer = client.exchange(&request(class, &format!("{class}-{left_ms}"), "team", left_ms));
             let status = answer.status();
             assert!([429, 502, 503, 504].contains(&status), "{class}, {left_ms} ms: {status}");
             let ran = one.requests.try_iter().count() > 0;
@@ -105,14 +105,16 @@
 
 /// Guards against a limiter that stays with an address that is given up, or ends by a file that cannot be used.
 #[test]
-fn of_configurations_in_a_row_the_last_that_can_be_used_counts() {
-    let (one, counter) = (server(ok), counter());
+fn after_several_reloads_the_last_valid_configuration_applies() {
+    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
     let agents: Vec<_> = ["SERVING", "SERVING", "DRAINING"]
         .iter()
         .zip(1..)
-        .map(|(health, seq)| discovery(list(seq, true, &[entry("s-0", one.address, health)])))
+        .map(|(health, seq)| {
+            discovery_stand_in(server_list(seq, true, &[server_row("s-0", one.address, health)]))
+        })
         .collect();
-    let mut setup = Setup::new(&[&one], &counter);
+    let mut setup = LimiterSetup::new(&[&one], &counter);
     setup.discovery = Some(agents[0].0.address);
     let mut limiter = setup.start();
     let first = limiter.config.clone();
@@ -123,39 +125,39 @@
         limiter.reload(&config);
     }
     // Its next watch there shows that it has taken the list in.
-    let watches = |message: &Message| message.line.contains("from=3");
-    while !watches(&agents[2].0.requests.recv_timeout(LONG).expect("it asks where it was sent last").1) {}
+    let watches = |message: &Message| message.start_line.contains("from=3");
+    while !watches(&agents[2].0.requests.recv_timeout(TIMEOUT).expect("it asks where it was sent last").1) {}
     for bad in ["", "{", "[]", "{\"discovery\":7}"] {
         limiter.reload(bad);
     }
     std::fs::remove_file(&limiter.path).expect("it is there");
-    limiter.hang_up();
-    turns(&limiter);
+    limiter.send_sighup();
+    wait_two_loop_iterations(&limiter);
     one.requests.try_iter().count();
-    let answer = limiter.client().ask(&request("look", "drained", "team", 500));
+    let answer = limiter.client().exchange(&request("look", "drained", "team", 500));
     assert_eq!(answer.status(), 429, "no server is in service by the last list");
     assert!(one.requests.try_recv().is_err(), "nothing goes to the server that drains");
     limiter.terminate();
-    assert!(limiter.wait().success());
+    assert!(limiter.wait_for_exit().success());
 }
 
 #[test]
-fn keys_that_are_not_known_are_skipped_wherever_they_stand() {
-    let (one, two, counter) = (server(ok), server(ok), counter());
+fn unknown_keys_are_ignored_everywhere() {
+    let (one, two, counter) = (stand_in(serve_ok), stand_in(serve_ok), counter_stand_in());
     let strange = |row: String| row.replace("{", "{\"unknown\":{\"a\":[1,null]},");
-    let rows = |server: &Server, host: &str| vec![strange(entry(host, server.address, "SERVING"))];
+    let rows = |server: &StandIn, host: &str| vec![strange(server_row(host, server.address, "SERVING"))];
     let lists = [(&one, "s-0", 1), (&two, "s-1", 2)]
-        .map(|(server, host, seq)| discovery(strange(list(seq, true, &rows(server, host)))));
-    let mut setup = Setup::new(&[&one], &counter);
-    setup.permissions = r#","unknown":{"b":[true]}"#.to_owned();
-    setup.known = Known::Rows(rows(&one, "s-0"));
+        .map(|(server, host, seq)| discovery_stand_in(strange(server_list(seq, true, &rows(server, host)))));
+    let mut setup = LimiterSetup::new(&[&one], &counter);
+    setup.extra_permissions = r#","unknown":{"b":[true]}"#.to_owned();
+    setup.known = KnownServers::Rows(rows(&one, "s-0"));
     setup.discovery = Some(lists[0].0.address);
     let limiter = setup.start();
-    assert_eq!(limiter.client().ask(&request("look", "first", "team", 9000)).status(), 200);
+    assert_eq!(limiter.client().exchange(&request("look", "first", "team", 9000)).status(), 200);
     let moved = limiter.config.replace(&lists[0].0.address.to_string(), &lists[1].0.address.to_string());
     let moved = moved.replace("\"settings\":{", "\"unknown\":[7],\"settings\":{\"unknown\":{\"c\":0.5},");
     limiter.reload(&moved);
-    while !lists[1].0.requests.recv_timeout(LONG).expect("it follows").1.line.contains("from=2") {}
-    assert_eq!(limiter.client().ask(&request("look", "second", "team", 9000)).status(), 200);
+    while !lists[1].0.requests.recv_timeout(TIMEOUT).expect("it follows").1.start_line.contains("from=2") {}
+    assert_eq!(limiter.client().exchange(&request("look", "second", "team", 9000)).status(), 200);
     assert_eq!(two.requests.try_iter().count(), 1, "the server of the second list serves");
 }
--- a/limeway/tests/scarcity.rs
+++ b/limeway/tests/scarcity.rs
@@ -55,10 +55,10 @@
 
 /// Guards against requests that die in the system's queue, while room is made for one connection after another.
 #[test]
-fn amid_a_crowd_every_request_gets_its_whole_answer_in_time_however_few_the_descriptors() {
+fn with_few_descriptors_and_many_connections_every_request_gets_a_whole_response_in_time() {
     for sockets in [64, 128, 160, 1_024] {
-        let (one, counter) = (server(serve_at_once), counter());
-        let mut setup = Setup::new(&[&one], &counter);
+        let (one, counter) = (stand_in(serve_at_once), counter_stand_in());
+        let mut setup = LimiterSetup::new(&[&one], &counter);
         setup.sockets = sockets;
         let limiter = setup.start();
         let mut served = 0;
@@ -67,18 +67,18 @@
             let mut client = limiter.client();
             client.stream.set_read_timeout(Some(Duration::from_millis(DEADLINE_MS))).expect("a time-out");
             client.write(&request_of(9_999 + round, &format!("new-{round}"), DEADLINE_MS));
-            let answer = client.read();
+            let answer = client.read_response();
             assert!(answer.as_ref().is_some_and(is_whole_answer), "{sockets}, round {round}: {answer:?}");
             served += usize::from(answer.is_some_and(|answer| answer.status() == 200));
             for client in &mut asked {
-                let answer = client.read();
+                let answer = client.read_response();
                 assert!(answer.as_ref().is_some_and(is_whole_answer), "{sockets}, round {round}: {answer:?}");
                 served += usize::from(answer.is_some_and(|answer| answer.status() == 200));
             }
             drop(useless);
         }
         assert!(served > 2 * BURST, "{sockets}: {served} of {} are served", 4 * (BURST + 1));
-        assert!(limiter.alive());
+        assert!(limiter.passes_health_check());
     }
 }
 
@@ -90,12 +90,12 @@
 /// Guards against time that a request has spent waiting, of which the client knows and the limiter does not: on a
 /// new connection in the system's queue, and on one that is kept.
 #[test]
-fn the_time_that_a_request_waited_for_a_process_that_stood_still_is_taken_from_its_deadline() {
-    let (one, counter) = (server(serve_at_once), counter());
-    let limiter = Setup::new(&[&one], &counter).start();
+fn time_spent_waiting_for_a_stopped_limiter_is_deducted_from_the_deadline() {
+    let (one, counter) = (stand_in(serve_at_once), counter_stand_in());
+    let limiter = LimiterSetup::new(&[&one], &counter).start();
     let mut kept = limiter.client();
-    assert_eq!(kept.ask(&request_of(1, "before", 20_000)).status(), 200);
-    one.requests.recv_timeout(LONG).expect("it is sent on");
+    assert_eq!(kept.exchange(&request_of(1, "before", 20_000)).status(), 200);
+    one.requests.recv_timeout(TIMEOUT).expect("it is sent on");
     limiter.pause();
     let mut new = limiter.client();
     new.write(&request_of(2, "new", 20_000));
@@ -104,26 +104,26 @@
     std::thread::sleep(Duration::from_millis(3_000));
     limiter.resume();
     for _ in 0..2 {
-        let (_, message) = one.requests.recv_timeout(LONG).expect("it is sent on");
+        let (_, message) = one.requests.recv_timeout(TIMEOUT).expect("it is sent on");
         let id = message.header("req-id");
         assert!(told(&message) < 17_500, "{id:?}: {} ms of 20,000 less 3,000", told(&message));
     }
-    assert_eq!(new.read().map(|answer| answer.status()), Some(200));
-    assert_eq!(kept.read().map(|answer| answer.status()), Some(200));
+    assert_eq!(new.read_response().map(|answer| answer.status()), Some(200));
+    assert_eq!(kept.read_response().map(|answer| answer.status()), Some(200));
 }
 
 /// Guards against work that is begun though it cannot end in time.
 #[test]
-fn a_request_that_waited_for_all_of_its_time_is_turned_away_and_not_sent_on() {
-    let (one, counter) = (server(serve_at_once), counter());
-    let limiter = Setup::new(&[&one], &counter).start();
+fn a_request_whose_deadline_passed_while_it_waited_is_rejected_and_not_forwarded() {
+    let (one, counter) = (stand_in(serve_at_once), counter_stand_in());
+    let limiter = LimiterSetup::new(&[&one], &counter).start();
     limiter.pause();
     let mut client = limiter.client();
     client.write(&request_of(1, "late", 1_000));
     // Not to order events: its time is over by then.
     std::thread::sleep(Duration::from_millis(2_000));
     limiter.resume();
-    let answer = client.read().expect("an answer");
+    let answer = client.read_response().expect("an answer");
     assert_eq!(answer.status(), 503);
     assert!(answer.header("retry-after").is_some());
     assert_eq!(one.requests.try_iter().count(), 0);
@@ -131,20 +131,20 @@
 
 /// Guards against a request behind another on its connection whose time begins when the other is answered.
 #[test]
-fn the_time_that_a_request_waited_behind_another_is_taken_from_its_deadline() {
-    let ((held, go), counter) = (holding(), counter());
-    let limiter = Setup::new(&[&held], &counter).start();
+fn time_spent_behind_a_pipelined_request_is_deducted_from_the_deadline() {
+    let ((held, go), counter) = (gated_server(), counter_stand_in());
+    let limiter = LimiterSetup::new(&[&held], &counter).start();
     let mut client = limiter.client();
     client.write(&[request_of(1, "first", 20_000), request_of(2, "second", 20_000)].concat());
-    held.requests.recv_timeout(LONG).expect("it is sent on");
+    held.requests.recv_timeout(TIMEOUT).expect("it is sent on");
     // Not to order events: the time that is lost is what this is about.
     std::thread::sleep(Duration::from_millis(2_000));
     go.send(()).expect("it waits");
-    let (_, second) = held.requests.recv_timeout(LONG).expect("it is sent on");
+    let (_, second) = held.requests.recv_timeout(TIMEOUT).expect("it is sent on");
     assert!(told(&second) < 18_200, "{} ms of 20,000 less 2,000", told(&second));
     go.send(()).expect("it waits");
     for id in ["first", "second"] {
-        assert_eq!(client.read().map(|answer| answer.body), Some(id.to_owned()));
+        assert_eq!(client.read_response().map(|answer| answer.body), Some(id.to_owned()));
     }
 }
 
@@ -158,7 +158,7 @@
         std::thread::spawn(move || {
             let mut stream = stream;
             while !stop.load(Ordering::SeqCst) && stream.write_all(batch.as_bytes()).is_ok() {}
-            hang_up(&stream);
+            close(&stream);
             reader.join().expect("it ends with the connection");
         })
     };
@@ -167,17 +167,17 @@
 
 /// Guards against a busy time that is taken for a wait of all that comes in it, however short that was.
 #[test]
-fn a_request_that_comes_while_the_limiter_is_busy_for_long_keeps_its_time() {
-    let (one, counter) = (server(serve_at_once), counter());
-    let limiter = Setup::new(&[&one], &counter).start();
+fn a_request_that_arrives_while_the_limiter_is_busy_keeps_its_deadline() {
+    let (one, counter) = (stand_in(serve_at_once), counter_stand_in());
+    let limiter = LimiterSetup::new(&[&one], &counter).start();
     let stop = Arc::new(AtomicBool::new(false));
     let busy = keep_busy(&limiter, &stop);
     // Not to order events: the busy time is what this is about.
     std::thread::sleep(Duration::from_millis(4_000));
     for n in 0..5 {
-        let answer = limiter.client().ask(&request_of(n, &format!("amid-{n}"), 20_000));
+        let answer = limiter.client().exchange(&request_of(n, &format!("amid-{n}"), 20_000));
         assert_eq!(answer.status(), 200);
-        let (_, message) = one.requests.recv_timeout(LONG).expect("it is sent on");
+        let (_, message) = one.requests.recv_timeout(TIMEOUT).expect("it is sent on");
         assert!(told(&message) > 17_500, "{} ms of 20,000 after 4 s of work", told(&message));
     }
     stop.store(true, Ordering::SeqCst);
--- a/limeway/tests/telling.rs
+++ b/limeway/tests/telling.rs
@@ -19,23 +19,31 @@
 }
 
 /// Plays an outage, then a change: how long it takes until the limiter is told of it, and that it heeds it.
-fn outage(ask: bool, mood: Mood, stage: Stage, length: Duration) -> Result<Duration, String> {
-    let (one, two, counter) = (server(ok), server(ok), counter());
-    let rows = [entry("s-0", one.address, "SERVING"), entry("s-1", two.address, "SERVING")];
-    let whole = list(1, true, &rows);
-    let first = if stage == Stage::Start { mood } else { Mood::Answers };
-    let (agent, other) = (moody(first, whole.clone()), moody(mood, whole));
-    let mut setup = Setup::new(&[&one, &two], &counter);
-    (setup.ask, setup.gateways, setup.discovery) = (ask, 300, Some(agent.server.address));
+fn outage(ask: bool, mode: DiscoveryMode, stage: Stage, length: Duration) -> Result<Duration, String> {
+    let (one, two, counter) = (stand_in(serve_ok), stand_in(serve_ok), counter_stand_in());
+    let rows = [server_row("s-0", one.address, "SERVING"), server_row("s-1", two.address, "SERVING")];
+    let whole = server_list(1, true, &rows);
+    let first = if stage == Stage::Start { mode } else { DiscoveryMode::Respond };
+    let (agent, other) = (faulty_discovery(first, whole.clone()), faulty_discovery(mode, whole));
+    let mut setup = LimiterSetup::new(&[&one, &two], &counter);
+    (setup.ask_mode, setup.gateways, setup.discovery) = (ask, 300, Some(agent.server.address));
     let limiter = setup.start();
     if stage != Stage::Start {
-        let end = Instant::now() + LONG;
-        while !agent.server.requests.recv_timeout(LONG).expect("a call").1.line.contains("hold_ms=3000") {
+        let end = Instant::now() + TIMEOUT;
+        while !agent
+            .server
+            .requests
+            .recv_timeout(TIMEOUT)
+            .expect("a call")
+            .1
+            .start_line
+            .contains("hold_ms=3000")
+        {
             assert!(Instant::now() < end, "no watch");
         }
     }
     match stage {
-        Stage::Watch => agent.turn(mood),
+        Stage::Watch => agent.set_mode(mode),
         Stage::Reload => {
             let (old, new) = (agent.server.address.to_string(), other.server.address.to_string());
             limiter.reload(&limiter.config.replace(&old, &new));
@@ -46,16 +54,24 @@
     thread::sleep(length);
     let agent = if stage == Stage::Reload { other } else { agent };
     let reachable = Instant::now();
-    agent.changes(list(2, true, &[entry("s-0", one.address, "DRAINING"), rows[1].clone()]));
-    let took = match agent.told.recv_timeout(LONG) {
+    agent.recover_with(server_list(2, true, &[server_row("s-0", one.address, "DRAINING"), rows[1].clone()]));
+    let took = match agent.change_sent.recv_timeout(TIMEOUT) {
         Ok(at) => at - reachable,
         Err(RecvTimeoutError::Timeout) => return Err("never told".to_owned()),
         Err(e) => return Err(e.to_string()),
     };
-    while !agent.server.requests.recv_timeout(LONG).expect("the next watch").1.line.contains("from=2&") {}
+    while !agent
+        .server
+        .requests
+        .recv_timeout(TIMEOUT)
+        .expect("the next watch")
+        .1
+        .start_line
+        .contains("from=2&")
+    {}
     one.requests.try_iter().count();
     for n in 0..4 {
-        limiter.client().ask(&request("look", &n.to_string(), "team", 9000));
+        limiter.client().exchange(&request("look", &n.to_string(), "team", 9000));
     }
     match one.requests.try_iter().count() {
         0 => Ok(took),
@@ -64,23 +80,29 @@
 }
 
 #[test]
-fn whatever_discovery_did_before_a_change_is_in_force_within_the_time_after_which_it_counts_as_told() {
-    let moods = [Mood::Silent, Mood::Refuses, Mood::Resets, Mood::Rubbish, Mood::Rows];
+fn after_any_discovery_outage_a_change_takes_effect_in_time() {
+    let modes = [
+        DiscoveryMode::Silent,
+        DiscoveryMode::Unavailable,
+        DiscoveryMode::Reset,
+        DiscoveryMode::MalformedJson,
+        DiscoveryMode::MalformedRows,
+    ];
     for length in [300, 2_000, 7_000, 20_000] {
         let plays: Vec<_> = [true, false]
             .into_iter()
-            .flat_map(|ask| moods.map(|mood| (ask, mood)))
-            .flat_map(|(ask, mood)| [Stage::Start, Stage::Watch, Stage::Reload].map(|s| (ask, mood, s)))
-            .map(|(ask, mood, stage)| {
+            .flat_map(|ask| modes.map(|mode| (ask, mode)))
+            .flat_map(|(ask, mode)| [Stage::Start, Stage::Watch, Stage::Reload].map(|s| (ask, mode, s)))
+            .map(|(ask, mode, stage)| {
                 let length = Duration::from_millis(length);
-                (ask, mood, stage, thread::spawn(move || outage(ask, mood, stage, length)))
+                (ask, mode, stage, thread::spawn(move || outage(ask, mode, stage, length)))
             })
             .collect();
         // All are over, and their limiters gone, before any is judged.
         let plays: Vec<_> = plays.into_iter().map(|(a, m, s, play)| (a, m, s, play.join())).collect();
-        for (ask, mood, stage, took) in plays {
+        for (ask, mode, stage, took) in plays {
             let took = took.expect("it is played");
-            let case = format!("asked {ask}, {mood:?} for {length} ms from its {stage:?} on");
+            let case = format!("asked {ask}, {mode:?} for {length} ms from its {stage:?} on");
             assert!(took.as_ref().is_ok_and(|took| *took < TOLD), "{case}: {took:?}");
         }
     }
@@ -88,15 +110,19 @@
 
 /// Guards against a spin where a discovery keeps no watch waiting, and against calls that stop because of it.
 #[test]
-fn a_discovery_that_keeps_no_watch_waiting_is_not_asked_in_a_spin() {
-    let (one, counter) = (server(ok), counter());
-    let whole = list(1, true, &[entry("s-0", one.address, "SERVING")]);
-    for answer in [list(1, false, &[]), list(7, false, &[]), whole.clone()] {
+fn a_discovery_that_answers_watches_at_once_is_not_called_in_a_busy_loop() {
+    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
+    let whole = server_list(1, true, &[server_row("s-0", one.address, "SERVING")]);
+    for answer in [server_list(1, false, &[]), server_list(7, false, &[]), whole.clone()] {
         let whole = whole.clone();
-        let agent = server(move |_, message, stream| {
-            reply(stream, "200 OK", if message.line.contains("hold_ms=3000") { &answer } else { &whole });
+        let agent = stand_in(move |_, message, stream| {
+            write_response(
+                stream,
+                "200 OK",
+                if message.start_line.contains("hold_ms=3000") { &answer } else { &whole },
+            );
         });
-        let mut setup = Setup::new(&[&one], &counter);
+        let mut setup = LimiterSetup::new(&[&one], &counter);
         setup.discovery = Some(agent.address);
         let _limiter = setup.start();
         // A hundred calls, one in 100 ms, would take ten seconds; a spin makes them in a few milliseconds. Counted
--- a/limeway/tests/unfinished.rs
+++ b/limeway/tests/unfinished.rs
@@ -16,9 +16,9 @@
 const COUNTER_CONNECTIONS: usize = 32;
 
 #[test]
-fn a_client_that_stops_in_the_middle_and_stays_gets_its_error_or_close_in_time() {
-    let (one, counter) = (server(ok), counter());
-    let limiter = Setup::new(&[&one], &counter).start();
+fn a_client_that_stalls_mid_request_gets_an_error_or_close_in_time() {
+    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
+    let limiter = LimiterSetup::new(&[&one], &counter).start();
     let plain = request("book", "part", "team", 9000);
     let chunked = plain.replace("Content-Length: 5", "Transfer-Encoding: chunked");
     let chunked = |body: &str| chunked.replace("hello", body);
@@ -37,10 +37,10 @@
         .map(|(kept, part)| {
             let mut client = limiter.client();
             std::thread::spawn(move || {
-                assert!(!kept || client.is_told_ready());
+                assert!(!kept || client.health_check());
                 let start = Instant::now();
                 client.write(&part);
-                let status = client.read().map(|answer| answer.status());
+                let status = client.read_response().map(|answer| answer.status());
                 (kept, part, start.elapsed(), status)
             })
         })
@@ -54,9 +54,9 @@
 }
 
 #[test]
-fn a_body_of_sixty_megabytes_is_turned_away_within_bounded_memory() {
-    let (one, counter) = (server(ok), counter());
-    let limiter = Setup::new(&[&one], &counter).start();
+fn a_60_megabyte_body_is_rejected_within_bounded_memory() {
+    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
+    let limiter = LimiterSetup::new(&[&one], &counter).start();
     let head = request("book", "huge", "team", 9000).replace("Content-Length: 5", "Content-Length: 60000000");
     let head = head.trim_end_matches("hello").to_owned();
     let clients: Vec<_> = (0..4)
@@ -74,7 +74,7 @@
                         }
                     }
                 });
-                read.set_read_timeout(Some(LONG)).expect("a time-out");
+                read.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
                 let mut text = String::new();
                 let end = read.read_to_string(&mut text);
                 writer.join().expect("it is cut off");
@@ -84,37 +84,37 @@
         })
         .collect();
     assert!(clients.into_iter().all(|client| client.join().expect("it ends")));
-    assert!(limiter.peak_mb() < 32, "{} MB", limiter.peak_mb());
-    assert!(limiter.alive() && one.requests.try_recv().is_err());
+    assert!(limiter.peak_memory_mb() < 32, "{} MB", limiter.peak_memory_mb());
+    assert!(limiter.passes_health_check() && one.requests.try_recv().is_err());
 }
 
 /// Guards against an answer without a length that goes on for ever.
 #[test]
-fn an_answer_without_a_length_and_without_an_end_is_given_up() {
-    let counter = counter();
+fn an_endless_response_without_a_length_is_given_up() {
+    let counter = counter_stand_in();
     let endless = |_: usize, _: &Message, stream: &mut TcpStream| {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n");
         while stream.write_all(&[b'x'; 16 * 1024]).is_ok() {}
     };
-    let one = server(endless);
-    let limiter = Setup::new(&[&one], &counter).start();
-    assert_eq!(limiter.client().ask(&request("once", "endless", "team", 20_000)).status(), 502);
-    assert!(limiter.peak_mb() < 32, "{} MB", limiter.peak_mb());
+    let one = stand_in(endless);
+    let limiter = LimiterSetup::new(&[&one], &counter).start();
+    assert_eq!(limiter.client().exchange(&request("once", "endless", "team", 20_000)).status(), 502);
+    assert!(limiter.peak_memory_mb() < 32, "{} MB", limiter.peak_memory_mb());
 }
 
 /// Guards against calls that the counter resets because it holds too many connections already.
 #[test]
-fn no_more_connections_are_open_at_the_counter_than_it_holds() {
-    let one = server(ok);
+fn connections_to_the_counter_stay_within_its_limit() {
+    let one = stand_in(serve_ok);
     let open = Arc::new(AtomicUsize::new(0));
     let ((go, wait), counted) = (channel::<()>(), open.clone());
     let wait = Mutex::new(wait);
-    let counter = server(move |number, _, stream| {
+    let counter = stand_in(move |number, _, stream| {
         counted.fetch_max(number + 1, Ordering::SeqCst);
-        let _ = wait.lock().expect("no panic while it is held").recv_timeout(LONG);
-        reply(stream, "200 OK", "1");
+        let _ = wait.lock().expect("no panic while it is held").recv_timeout(TIMEOUT);
+        write_response(stream, "200 OK", "1");
     });
-    let limiter = Setup::new(&[&one], &counter).start();
+    let limiter = LimiterSetup::new(&[&one], &counter).start();
     let mut clients: Vec<Client> = (0..100)
         .map(|n| {
             let mut client = limiter.client();
@@ -123,21 +123,21 @@
             client
         })
         .collect();
-    turns(&limiter);
+    wait_two_loop_iterations(&limiter);
     drop(go);
     for client in &mut clients {
-        assert!(client.read().is_some(), "a final answer");
+        assert!(client.read_response().is_some(), "a final answer");
     }
     let most = open.load(Ordering::SeqCst);
     assert!((2..=COUNTER_CONNECTIONS).contains(&most), "{most} connections");
 }
 
 #[test]
-fn it_listens_at_its_own_address_only() {
-    let (one, counter) = (server(ok), counter());
-    let limiter = Setup::new(&[&one], &counter).start();
+fn a_limiter_listens_on_its_own_address_only() {
+    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
+    let limiter = LimiterSetup::new(&[&one], &counter).start();
     for other in [Ipv4Addr::LOCALHOST, Ipv4Addr::new(127, 1, 2, 3)] {
         assert!(TcpStream::connect((other, limiter.address.port())).is_err(), "{other}");
     }
-    assert!(limiter.alive());
+    assert!(limiter.passes_health_check());
 }
