--- a/limeway/tests/requests.rs
+++ b/limeway/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests through the limiter: what goes on to servers, what becomes of each outcome, bad input.
+//! Requests through the limiter: what is forwarded to servers, how each outcome is answered, and invalid input.
 
 mod common;
 
@@ -9,28 +9,28 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-fn serve_ok(_: usize, _: &Message, stream: &mut TcpStream) {
+fn serve_hi_there(_: usize, _: &Message, stream: &mut TcpStream) {
     write_response(stream, "200 OK", "hi there");
 }
 
 #[test]
 fn a_request_is_forwarded_unchanged_and_its_response_returned() {
-    let (server, counter) = (stand_in(serve_ok), counter_stand_in());
+    let (server, counter) = (stand_in(serve_hi_there), counter_stand_in());
     let limiter = LimiterSetup::new(&[&server], &counter).start();
-    let answer = limiter.client().exchange(&request("book", "9b1f", "team", 9000));
-    assert_eq!((answer.status(), answer.body.as_str()), (200, "hi there"));
+    let response = limiter.client().exchange(&request("book", "9b1f", "team", 9000));
+    assert_eq!((response.status(), response.body.as_str()), (200, "hi there"));
     let (_, sent) = server.requests.recv_timeout(TIMEOUT).expect("an attempt");
     assert_eq!(sent.start_line, "POST /book/00000000b4d65521?x=1 HTTP/1.1");
     assert_eq!(sent.body, "hello");
     assert_eq!(sent.header("req-id"), Some("9b1f"));
     assert_eq!(sent.header("idempotency-key"), Some("5c0f"));
     let left: u64 = sent.header("req-deadline-ms").and_then(|l| l.parse().ok()).expect("a deadline");
-    assert!((1..=9000).contains(&left), "{left}");
+    assert!((1..=9000).contains(&left), "forwarded deadline: {left} ms");
 }
 
 #[test]
 fn invalid_requests_get_their_status_and_reach_no_server() {
-    let (server, counter) = (stand_in(serve_ok), counter_stand_in());
+    let (server, counter) = (stand_in(serve_hi_there), counter_stand_in());
     let limiter = LimiterSetup::new(&[&server], &counter).start();
     let good = request("book", "1", "team", 9000);
     let look = request("look", "1", "team", 9000);
@@ -100,8 +100,8 @@
         (400, good.replace("units=1,spread=2,first=0", "units")),
     ];
     for (status, bytes) in cases {
-        let answer = limiter.client().exchange(&bytes);
-        assert_eq!(answer.status(), status, "{bytes:.300}");
+        let response = limiter.client().exchange(&bytes);
+        assert_eq!(response.status(), status, "{bytes:.300}");
     }
     assert_eq!(server.requests.recv_timeout(Duration::ZERO).err(), Some(RecvTimeoutError::Timeout));
     assert!(limiter.passes_health_check());
@@ -124,8 +124,8 @@
         .replace("hello", "2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n");
     let mut client = limiter.client();
     for _ in 0..2 {
-        let answer = client.exchange(&chunked);
-        assert_eq!((answer.status(), answer.body.as_str()), (200, "hi there"));
+        let response = client.exchange(&chunked);
+        assert_eq!((response.status(), response.body.as_str()), (200, "hi there"));
         assert_eq!(server.requests.recv_timeout(TIMEOUT).expect("an attempt").1.body, "hello");
     }
 }
@@ -141,7 +141,7 @@
     let all: String = (0..5).map(|n| request("look", &n.to_string(), "team", 9000)).collect();
     client.write(&all);
     for n in 0..5 {
-        assert_eq!(client.read_response().expect("an answer").body, n.to_string());
+        assert_eq!(client.read_response().expect("a response").body, n.to_string());
     }
 }
 
@@ -166,44 +166,45 @@
 
 #[test]
 fn an_unsafe_request_is_not_retried_after_an_invalid_or_truncated_response() {
-    let parts: [&str; 5] = [
+    let bad_responses: [&str; 5] = [
         "",
         "HTTP/1.1 200 OK\r\nContent-Le",
         "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
         "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\nabc",
         "garbage\r\n\r\n",
     ];
-    let (one, counter) = (
+    let (server, counter) = (
         stand_in(move |_, m, s| {
-            let part: usize = m.header("req-id").and_then(|id| id.parse().ok()).expect("a number");
-            let _ = s.write_all(parts[part].as_bytes());
+            let number: usize = m.header("req-id").and_then(|id| id.parse().ok()).expect("a number");
+            let _ = s.write_all(bad_responses[number].as_bytes());
             close(s);
         }),
         counter_stand_in(),
     );
-    for part in 0..parts.len() {
-        let limiter = LimiterSetup::new(&[&one, &one], &counter).start();
-        let answer = limiter.client().exchange(&request("once", &part.to_string(), "team", 9000));
-        assert_eq!(answer.status(), 502, "{part}");
+    for number in 0..bad_responses.len() {
+        let limiter = LimiterSetup::new(&[&server, &server], &counter).start();
+        let response = limiter.client().exchange(&request("once", &number.to_string(), "team", 9000));
+        assert_eq!(response.status(), 502, "response {number}");
     }
-    assert_eq!(one.requests.try_iter().count(), parts.len());
+    assert_eq!(server.requests.try_iter().count(), bad_responses.len());
 }
 
 #[test]
 fn a_failed_keyed_request_is_retried_on_another_server() {
-    let (bad, good) = (stand_in(|_, _, s| write_response(s, "500 Broken", "")), stand_in(serve_ok));
+    let (bad, good) = (stand_in(|_, _, s| write_response(s, "500 Broken", "")), stand_in(serve_hi_there));
     let counter = counter_stand_in();
-    // Which server comes first falls by chance, and the good one is kept to: each limiter starts from nothing.
+    // The first server is chosen at random, and a limiter prefers one that has worked: so each request gets a new
+    // limiter.
     for n in 0..24 {
         let limiter = LimiterSetup::new(&[&bad, &good], &counter).seed(n * 7_919 + 1).start();
         assert_eq!(limiter.client().exchange(&request("book", &n.to_string(), "team", 9000)).status(), 200);
     }
-    assert!(bad.requests.try_iter().count() >= 1, "the bad server was tried");
+    assert!(bad.requests.try_iter().count() >= 1, "the failing server was never tried");
 }
 
 #[test]
 fn after_a_refused_connection_even_an_unsafe_request_is_retried() {
-    let (good, counter) = (stand_in(serve_ok), counter_stand_in());
+    let (good, counter) = (stand_in(serve_hi_there), counter_stand_in());
     let mut setup = LimiterSetup::new(&[&good], &counter);
     setup.servers.push(("s-dead".into(), unused_address()));
     let limiter = setup.start();
@@ -213,17 +214,17 @@
     }
 }
 
-/// Guards against writing to a connection that its server has closed while it stood idle: that would end as
-/// a reset, and an unsafe request would fail for nothing.
+/// Guards against writing to a connection that its server has closed while it was idle: the attempt would end with a
+/// reset, and an unsafe request would fail needlessly.
 #[test]
 fn a_server_connection_closed_while_idle_is_not_reused() {
-    let (closed, is_closed) = channel();
-    let closed = Mutex::new(closed);
+    let (notify_closed, closed) = channel();
+    let notify_closed = Mutex::new(notify_closed);
     let (server, counter) = (
         stand_in(move |_, _, s| {
             write_response(s, "200 OK", "");
             close(s);
-            let _ = closed.lock().expect("no panic while it is held").send(());
+            let _ = notify_closed.lock().expect("lock is not poisoned").send(());
         }),
         counter_stand_in(),
     );
@@ -231,13 +232,13 @@
     let mut client = limiter.client();
     for n in 0..10 {
         assert_eq!(client.exchange(&request("once", &n.to_string(), "team", 9000)).status(), 200);
-        is_closed.recv_timeout(TIMEOUT).expect("the server hangs up");
+        closed.recv_timeout(TIMEOUT).expect("the server closes the connection");
     }
 }
 
 #[test]
 fn server_connections_are_reused() {
-    let (server, counter) = (stand_in(serve_ok), counter_stand_in());
+    let (server, counter) = (stand_in(serve_hi_there), counter_stand_in());
     let limiter = LimiterSetup::new(&[&server], &counter).start();
     let mut client = limiter.client();
     for n in 0..5 {
@@ -247,66 +248,68 @@
     assert_eq!(connections, [0; 5]);
 }
 
-/// A server that says nothing and tells when the connection ends.
-fn silent() -> (StandIn, Receiver<bool>) {
-    let (ended, has_ended) = channel();
-    let ended = Mutex::new(ended);
+/// A server that never responds. Once the connection of a request ends, the receiver gets `true`; if further bytes
+/// arrive instead, it gets `false`.
+fn unresponsive_server() -> (StandIn, Receiver<bool>) {
+    let (notify_ended, ended) = channel();
+    let notify_ended = Mutex::new(notify_ended);
     let server = stand_in(move |_, _, s| {
         let read = s.read(&mut [0; 1]);
-        let _ = ended.lock().expect("no panic while it is held").send(matches!(read, Ok(0) | Err(_)));
+        let _ = notify_ended.lock().expect("lock is not poisoned").send(matches!(read, Ok(0) | Err(_)));
     });
-    (server, has_ended)
+    (server, ended)
 }
 
-/// Guards against work for a client that has left, and against an attempt that outlives its request.
+/// Guards against work for a client that has disconnected, and against an attempt that outlives its request.
 #[test]
 fn a_client_disconnect_cancels_its_attempt() {
-    let ((server, has_ended), counter) = (silent(), counter_stand_in());
+    let ((server, ended), counter) = (unresponsive_server(), counter_stand_in());
     let limiter = LimiterSetup::new(&[&server], &counter).start();
     let mut client = limiter.client();
     client.write(&request("look", "1", "team", 30_000));
     server.requests.recv_timeout(TIMEOUT).expect("an attempt");
     drop(client);
-    assert_eq!(has_ended.recv_timeout(TIMEOUT), Ok(true));
+    assert_eq!(ended.recv_timeout(TIMEOUT), Ok(true));
     assert!(limiter.passes_health_check());
 }
 
 #[test]
 fn an_attempt_at_an_unresponsive_server_ends_at_the_deadline() {
-    let ((server, has_ended), counter) = (silent(), counter_stand_in());
+    let ((server, ended), counter) = (unresponsive_server(), counter_stand_in());
     let limiter = LimiterSetup::new(&[&server], &counter).start();
     let mut client = limiter.client();
     assert_eq!(client.exchange(&request("once", "1", "team", 400)).status(), 502);
-    assert_eq!(has_ended.recv_timeout(TIMEOUT), Ok(true));
-    // Nothing more comes for it: the next answer on the connection is the next request's.
+    assert_eq!(ended.recv_timeout(TIMEOUT), Ok(true));
+    // The first request gets no second response: the next one on the connection is that of the next request.
     assert_eq!(client.exchange("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
     assert_eq!(server.requests.try_iter().count(), 1);
 }
 
 #[test]
 fn a_customer_over_quota_gets_429_with_retry_after() {
-    let (server, counter) = (stand_in(serve_ok), counter_stand_in());
+    let (server, counter) = (stand_in(serve_hi_there), counter_stand_in());
     let limiter = LimiterSetup::new(&[&server], &counter).start();
     let mut client = limiter.client();
-    let answers: Vec<Message> =
+    let responses: Vec<Message> =
         (0..6).map(|n| client.exchange(&request("look", &n.to_string(), "tiny", 9000))).collect();
-    assert_eq!(answers[0].status(), 200);
-    let refused = answers.last().expect("six answers");
+    assert_eq!(responses[0].status(), 200);
+    let refused = responses.last().expect("six responses");
     assert_eq!(refused.status(), 429);
-    let wait: f64 = refused.header("retry-after").and_then(|w| w.parse().ok()).expect("advice");
-    assert!(wait > 0.0 && wait <= 1.0, "{wait}");
+    let retry_after: f64 =
+        refused.header("retry-after").and_then(|w| w.parse().ok()).expect("a retry-after header");
+    assert!(retry_after > 0.0 && retry_after <= 1.0, "{retry_after}");
 }
 
-/// Guards against a server that vanished or restarted unseen: once a connection to it has broken, the others
-/// from before are not used either.
+/// Guards against a server that crashed or restarted unnoticed: once a connection to it is reset, the limiter must
+/// not use its older connections to that server either.
 #[test]
 fn after_a_reset_older_connections_to_the_server_are_not_reused() {
-    let (go, wait) = channel::<()>();
+    let (release, wait) = channel::<()>();
     let wait = Mutex::new(wait);
     let (server, counter) = (
         stand_in(move |_, m, s| match m.header("req-id") {
             Some("held") => {
-                let _ = wait.lock().expect("no panic while it is held").recv();
+                let _ = wait.lock().expect("lock is not poisoned").recv();
                 write_response(s, "200 OK", "");
             }
             Some("broken") => close(s),
@@ -315,23 +318,23 @@
         counter_stand_in(),
     );
     let limiter = LimiterSetup::new(&[&server], &counter).start();
-    let (mut one, mut two) = (limiter.client(), limiter.client());
-    one.write(&request("look", "held", "team", 9000));
+    let (mut first, mut second) = (limiter.client(), limiter.client());
+    first.write(&request("look", "held", "team", 9000));
     assert_eq!(server.requests.recv_timeout(TIMEOUT).expect("an attempt").0, 0);
-    assert_eq!(two.exchange(&request("look", "second", "team", 9000)).status(), 200);
+    assert_eq!(second.exchange(&request("look", "second", "team", 9000)).status(), 200);
     assert_eq!(server.requests.recv_timeout(TIMEOUT).expect("an attempt").0, 1);
-    go.send(()).expect("the server waits");
-    assert_eq!(one.read_response().expect("an answer").status(), 200);
-    assert_eq!(two.exchange(&request("once", "broken", "team", 9000)).status(), 502);
+    release.send(()).expect("stand-in is running");
+    assert_eq!(first.read_response().expect("a response").status(), 200);
+    assert_eq!(second.exchange(&request("once", "broken", "team", 9000)).status(), 502);
     assert_eq!(server.requests.recv_timeout(TIMEOUT).expect("an attempt").0, 0);
-    let mut three = limiter.client();
-    three.write(&request("book", "after", "team", 9000));
+    let mut third = limiter.client();
+    third.write(&request("book", "after", "team", 9000));
     assert_eq!(server.requests.recv_timeout(TIMEOUT).expect("an attempt").0, 2);
-    assert_eq!(three.read_response().expect("an answer").status(), 200);
+    assert_eq!(third.read_response().expect("a response").status(), 200);
 }
 
-/// What a server may send in place of an answer, the connection staying open.
-const SPOILT: [&str; 8] = [
+/// Malformed responses, after which the server leaves the connection open.
+const MALFORMED: [&str; 8] = [
     "\u{1}\u{2}noise\r\n\r\n",
     "noise without an end",
     "HTTP/1.1 200 OK\r\nX-Pad: ",
@@ -342,55 +345,60 @@
     "HTTP/1.1 200 OK\r\n\r\nabcd",
 ];
 
-/// Guards against a server that is put out of service for one answer that cannot be read, and against waiting
-/// for the rest of such an answer until the client's time is up.
+/// Guards against taking a server out of service for one malformed response, and against waiting for the rest of such
+/// a response until the client's deadline.
 #[test]
 fn a_malformed_response_fails_the_attempt_but_the_server_stays_in_service() {
-    for spoilt in SPOILT {
+    for malformed in MALFORMED {
         let counter = counter_stand_in();
-        let one = stand_in(move |_, m, s| match m.header("req-id") {
-            Some("first") => drop(s.write_all(spoilt.as_bytes())),
+        let server = stand_in(move |_, m, s| match m.header("req-id") {
+            Some("first") => drop(s.write_all(malformed.as_bytes())),
             _ => write_response(s, "200 OK", "hi"),
         });
-        let limiter = LimiterSetup::new(&[&one], &counter).start();
-        let (mut client, began) = (limiter.client(), Instant::now());
-        let answer = client.exchange(&request("once", "first", "team", 30_000));
-        assert_eq!(answer.status(), 502, "{spoilt}");
-        let answer = client.exchange(&request("once", "second", "team", 30_000));
-        assert_eq!((answer.status(), answer.body.as_str()), (200, "hi"), "{spoilt}");
-        assert!(began.elapsed() < Duration::from_secs(15), "{spoilt}: it was waited for");
+        let limiter = LimiterSetup::new(&[&server], &counter).start();
+        let (mut client, start) = (limiter.client(), Instant::now());
+        let response = client.exchange(&request("once", "first", "team", 30_000));
+        assert_eq!(response.status(), 502, "{malformed}");
+        let response = client.exchange(&request("once", "second", "team", 30_000));
+        assert_eq!((response.status(), response.body.as_str()), (200, "hi"), "{malformed}");
+        assert!(start.elapsed() < Duration::from_secs(15), "{malformed}: waited too long for its rest");
     }
 }
 
 #[test]
 fn a_safe_request_is_retried_after_a_malformed_response() {
-    let (bad, counter) =
+    let (send_noise, counter) =
         (|_: usize, _: &Message, s: &mut TcpStream| drop(s.write_all(b"noise\n\n")), counter_stand_in());
-    let (one, two) = (stand_in(bad), stand_in(serve_ok));
+    let (server_0, server_1) = (stand_in(send_noise), stand_in(serve_hi_there));
     for n in 0..24 {
-        let limiter = LimiterSetup::new(&[&one, &two], &counter).seed(n * 7_919 + 1).start();
+        let limiter = LimiterSetup::new(&[&server_0, &server_1], &counter).seed(n * 7_919 + 1).start();
         assert_eq!(limiter.client().exchange(&request("look", &n.to_string(), "team", 30_000)).status(), 200);
     }
-    assert!(one.requests.try_iter().count() > 0, "the bad one was tried");
+    assert!(server_0.requests.try_iter().count() > 0, "the failing server was never tried");
 }
 
-/// Guards against a second answer, right behind the first or a little late, that meets the next request.
+/// Guards against taking a second response, sent right after the first or a little later, for that of the next
+/// request.
 #[test]
 fn a_surplus_response_is_not_taken_for_that_of_the_next_request() {
-    for late in [Duration::ZERO, Duration::from_millis(2), Duration::from_millis(8)] {
+    for delay in [Duration::ZERO, Duration::from_millis(2), Duration::from_millis(8)] {
         let counter = counter_stand_in();
-        let one = stand_in(move |_, m, s| {
+        let server = stand_in(move |_, m, s| {
             let id = m.header("req-id").expect("an id").to_owned();
             write_response(s, "200 OK", &id);
-            std::thread::sleep(late);
+            std::thread::sleep(delay);
             write_response(s, "200 OK\r\nX: copy", &id);
         });
-        let limiter = LimiterSetup::new(&[&one], &counter).start();
+        let limiter = LimiterSetup::new(&[&server], &counter).start();
         let mut client = limiter.client();
         for n in 0..20 {
             let id = n.to_string();
-            let answer = client.exchange(&request("look", &id, "team", 30_000));
-            assert_eq!((answer.status(), answer.body.as_str()), (200, id.as_str()), "{late:?}");
+            let response = client.exchange(&request("look", &id, "team", 30_000));
+            assert_eq!(
+                (response.status(), response.body.as_str()),
+                (200, id.as_str()),
+                "second response after {delay:?}"
+            );
         }
     }
 }
@@ -398,61 +406,63 @@
 #[test]
 fn interim_responses_are_skipped_up_to_a_limit() {
     let counter = counter_stand_in();
-    let one = stand_in(|_, m, s| {
+    let server = stand_in(|_, m, s| {
         let interim = "HTTP/1.1 102 Processing\r\nX: y\r\n\r\n";
         let times = if m.header("req-id") == Some("few") { 3 } else { 1_000 };
         let _ = s.write_all(interim.repeat(times).as_bytes());
         write_response(s, "200 OK", "hi");
     });
-    let limiter = LimiterSetup::new(&[&one], &counter).start();
-    let answer = limiter.client().exchange(&request("once", "few", "team", 30_000));
-    assert_eq!((answer.status(), answer.body.as_str()), (200, "hi"));
+    let limiter = LimiterSetup::new(&[&server], &counter).start();
+    let response = limiter.client().exchange(&request("once", "few", "team", 30_000));
+    assert_eq!((response.status(), response.body.as_str()), (200, "hi"));
     assert_eq!(limiter.client().exchange(&request("once", "many", "team", 30_000)).status(), 502);
 }
 
-/// Guards against headers that name one connection's business, or that a server may read otherwise than we do.
+/// Guards against forwarding hop-by-hop headers, and headers that a server may interpret differently from the
+/// limiter.
 #[test]
 fn only_known_headers_are_forwarded_and_the_client_cannot_remove_any() {
-    let (server, counter) = (stand_in(serve_ok), counter_stand_in());
+    let (server, counter) = (stand_in(serve_hi_there), counter_stand_in());
     let limiter = LimiterSetup::new(&[&server], &counter).start();
-    let more = "Connection: Req-Id, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\nSrv-Declined: 1\r\nHost:";
-    let ask = request("book", "kept", "team", 9000).replace("Host:", more);
-    assert_eq!(limiter.client().exchange(&ask).status(), 200);
-    let (_, seen) = server.requests.recv_timeout(TIMEOUT).expect("a request");
-    assert_eq!((seen.header("req-id"), seen.header("idempotency-key")), (Some("kept"), Some("5c0f")));
+    let added = "Connection: Req-Id, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\nSrv-Declined: 1\r\nHost:";
+    let text = request("book", "kept", "team", 9000).replace("Host:", added);
+    assert_eq!(limiter.client().exchange(&text).status(), 200);
+    let (_, sent) = server.requests.recv_timeout(TIMEOUT).expect("a request");
+    assert_eq!((sent.header("req-id"), sent.header("idempotency-key")), (Some("kept"), Some("5c0f")));
     for name in ["connection", "x-hop", "te", "srv-declined"] {
-        assert_eq!(seen.header(name), None, "{name}");
+        assert_eq!(sent.header(name), None, "{name}");
     }
 }
 
-/// Guards against answers that get mixed up between two requests under one id; once the first is answered, or
-/// its client has left, the id is free.
+/// Guards against mixing up the responses of two requests with the same id. Once the first is answered, or its client
+/// has disconnected, the id can be used again.
 #[test]
 fn a_request_with_the_id_of_an_open_request_gets_409() {
-    let (go, wait) = channel::<()>();
+    let (release, wait) = channel::<()>();
     let wait = Mutex::new(wait);
-    let one = stand_in(move |_, _, s| {
-        let _ = wait.lock().expect("no panic while it is held").recv();
+    let server = stand_in(move |_, _, s| {
+        let _ = wait.lock().expect("lock is not poisoned").recv();
         write_response(s, "200 OK", "hi");
     });
     let counter = counter_stand_in();
-    let limiter = LimiterSetup::new(&[&one], &counter).start();
+    let limiter = LimiterSetup::new(&[&server], &counter).start();
     let (mut first, mut second) = (limiter.client(), limiter.client());
     first.write(&request("look", "same", "team", 30_000));
-    one.requests.recv_timeout(TIMEOUT).expect("an attempt");
+    server.requests.recv_timeout(TIMEOUT).expect("an attempt");
     assert_eq!(second.exchange(&request("look", "same", "team", 30_000)).status(), 409);
-    go.send(()).expect("the server waits");
+    release.send(()).expect("stand-in is running");
     assert_eq!(first.read_response().map(|a| a.status()), Some(200));
-    go.send(()).expect("the server waits");
+    release.send(()).expect("stand-in is running");
     assert_eq!(second.exchange(&request("look", "same", "team", 30_000)).status(), 200);
 }
 
-/// Guards against taking a large answer for a spoilt one: three servers would run the request, and none serve it.
+/// Guards against taking a large response for a malformed one: every attempt would run the request, and none would be
+/// served.
 #[test]
 fn a_large_response_is_returned_whole() {
-    let (one, counter) =
+    let (server, counter) =
         (stand_in(|_, _, s| write_response(s, "200 OK", &"large ".repeat(70_000))), counter_stand_in());
-    let limiter = LimiterSetup::new(&[&one], &counter).start();
-    let answer = limiter.client().exchange(&request("look", "1", "team", 30_000));
-    assert_eq!((answer.status(), answer.body.len()), (200, 420_000));
+    let limiter = LimiterSetup::new(&[&server], &counter).start();
+    let response = limiter.client().exchange(&request("look", "1", "team", 30_000));
+    assert_eq!((response.status(), response.body.len()), (200, 420_000));
 }
