--- a/limeway/tests/service.rs
+++ b/limeway/tests/service.rs
@@ -1,4 +1,5 @@
-//! The limiter as a service: its other protocols, its limits, its start and its end.
+//! The limiter as a service: its protocols with discovery, the counter and other limiters, its limits, its start,
+//! reload and shutdown.
 
 mod common;
 
@@ -9,115 +10,124 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-fn serve_ok(_: usize, _: &Message, stream: &mut TcpStream) {
+fn serve_hi(_: usize, _: &Message, stream: &mut TcpStream) {
     write_response(stream, "200 OK", "hi");
 }
 
 #[test]
 fn no_new_request_goes_to_a_server_that_discovery_lists_as_draining() {
-    let (one, two, counter) = (stand_in(serve_ok), stand_in(serve_ok), counter_stand_in());
-    let entries = [server_row("s-0", one.address, "SERVING"), server_row("s-1", two.address, "SERVING")];
-    for word in ["DRAINING", "DELETED", "PONDERING"] {
-        let (list_server, updates) = discovery_stand_in(server_list(1, true, &entries));
-        let mut setup = LimiterSetup::new(&[&one, &two], &counter);
-        setup.discovery = Some(list_server.address);
+    let (server_0, server_1, counter) = (stand_in(serve_hi), stand_in(serve_hi), counter_stand_in());
+    let rows =
+        [server_row("s-0", server_0.address, "SERVING"), server_row("s-1", server_1.address, "SERVING")];
+    for health in ["DRAINING", "DELETED", "PONDERING"] {
+        let (discovery, updates) = discovery_stand_in(server_list(1, true, &rows));
+        let mut setup = LimiterSetup::new(&[&server_0, &server_1], &counter);
+        setup.discovery = Some(discovery.address);
         let limiter = setup.start();
-        updates.send(server_list(2, false, &[server_row("s-0", one.address, word)])).expect("a watch");
-        // The next watch tells that the change has been taken in.
-        while !list_server.requests.recv_timeout(TIMEOUT).expect("a watch").1.start_line.contains("from=2&") {
-        }
-        one.requests.try_iter().count();
+        updates
+            .send(server_list(2, false, &[server_row("s-0", server_0.address, health)]))
+            .expect("discovery stand-in is running");
+        // The limiter starts its next watch only after it has applied the change.
+        while !discovery.requests.recv_timeout(TIMEOUT).expect("a watch").1.start_line.contains("from=2&") {}
+        // Discards the requests received so far.
+        server_0.requests.try_iter().count();
         let mut client = limiter.client();
         for n in 0..6 {
             assert_eq!(client.exchange(&request("look", &n.to_string(), "team", 9000)).status(), 200);
         }
-        assert_eq!(one.requests.try_iter().count(), 0, "{word}");
+        assert_eq!(server_0.requests.try_iter().count(), 0, "{health}");
     }
 }
 
 #[test]
 fn a_server_is_identified_by_its_host_and_followed_to_a_new_address() {
-    let (old, new, counter) = (stand_in(serve_ok), stand_in(serve_ok), counter_stand_in());
-    let (list_server, updates) =
+    let (old, new, counter) = (stand_in(serve_hi), stand_in(serve_hi), counter_stand_in());
+    let (discovery, updates) =
         discovery_stand_in(server_list(1, true, &[server_row("s-0", old.address, "SERVING")]));
     let mut setup = LimiterSetup::new(&[&old], &counter);
-    setup.discovery = Some(list_server.address);
+    setup.discovery = Some(discovery.address);
     let limiter = setup.start();
     let mut client = limiter.client();
     assert_eq!(client.exchange(&request("look", "1", "team", 9000)).status(), 200);
     assert_eq!(old.requests.try_iter().count(), 1);
-    updates.send(server_list(2, false, &[server_row("s-0", new.address, "SERVING")])).expect("a watch");
-    while !list_server.requests.recv_timeout(TIMEOUT).expect("a watch").1.start_line.contains("from=2&") {}
+    updates
+        .send(server_list(2, false, &[server_row("s-0", new.address, "SERVING")]))
+        .expect("discovery stand-in is running");
+    // Waits for the watch that shows that version 2 is applied.
+    while !discovery.requests.recv_timeout(TIMEOUT).expect("a watch").1.start_line.contains("from=2&") {}
     assert_eq!(client.exchange(&request("look", "2", "team", 9000)).status(), 200);
     assert_eq!((old.requests.try_iter().count(), new.requests.try_iter().count()), (0, 1));
 }
 
 #[test]
 fn discovery_is_called_again_after_bad_responses_while_known_servers_are_used() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-    let whole = server_list(1, true, &[server_row("s-0", one.address, "SERVING")]);
-    let bad = ["200 OK\r\nX: {", "503 Busy", "404 None", "nonsense", "200 OK\r\nContent-Length: 99999999"];
-    let list_server = stand_in(move |n, m, s| match bad.get(n) {
+    let (server, counter) = (stand_in(serve_hi), counter_stand_in());
+    let full_list = server_list(1, true, &[server_row("s-0", server.address, "SERVING")]);
+    let bad_heads =
+        ["200 OK\r\nX: {", "503 Busy", "404 None", "nonsense", "200 OK\r\nContent-Length: 99999999"];
+    let discovery = stand_in(move |n, m, s| match bad_heads.get(n) {
         Some(head) => {
             write_response(s, head, r#"{"seq":"x"}"#);
             close(s);
         }
         None if m.start_line.contains("from=") => std::thread::park(),
-        None => write_response(s, "200 OK", &whole),
+        None => write_response(s, "200 OK", &full_list),
     });
-    let mut setup = LimiterSetup::new(&[&one], &counter);
-    setup.discovery = Some(list_server.address);
+    let mut setup = LimiterSetup::new(&[&server], &counter);
+    setup.discovery = Some(discovery.address);
     let limiter = setup.start();
     assert_eq!(limiter.client().exchange(&request("look", "1", "team", 9000)).status(), 200);
 }
 
 #[test]
 fn with_known_servers_a_limiter_starts_though_discovery_does_not_respond() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-    let silent = stand_in(|_, _, _| std::thread::park());
-    let mut setup = LimiterSetup::new(&[&one], &counter);
-    setup.discovery = Some(silent.address);
+    let (server, counter) = (stand_in(serve_hi), counter_stand_in());
+    let unresponsive = stand_in(|_, _, _| std::thread::park());
+    let mut setup = LimiterSetup::new(&[&server], &counter);
+    setup.discovery = Some(unresponsive.address);
     let limiter = setup.start();
     assert_eq!(limiter.client().exchange(&request("look", "1", "team", 9000)).status(), 200);
 }
 
 #[test]
 fn a_counter_call_carries_amount_and_ttl() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-    let limiter = LimiterSetup::new(&[&one], &counter).start();
+    let (server, counter) = (stand_in(serve_hi), counter_stand_in());
+    let limiter = LimiterSetup::new(&[&server], &counter).start();
     assert_eq!(limiter.client().exchange(&request("look", "1", "team", 9000)).status(), 200);
-    let (_, call) = counter.requests.recv_timeout(TIMEOUT).expect("a call");
-    let target = call.start_line.strip_prefix("POST /v1/count/").expect("a call").strip_suffix(" HTTP/1.1");
+    let (_, call) = counter.requests.recv_timeout(TIMEOUT).expect("a counter call");
+    let target =
+        call.start_line.strip_prefix("POST /v1/count/").expect("a counter call").strip_suffix(" HTTP/1.1");
     let (name, query) = target.and_then(|t| t.split_once('?')).expect("a query");
     assert!(name.parse::<u64>().is_ok(), "{name}");
-    let (add, ttl) = query.split_once('&').expect("two values");
+    let (add, ttl) = query.split_once('&').expect("two query parameters");
     let add: f64 = add.strip_prefix("add=").and_then(|a| a.parse().ok()).expect("an amount");
-    let ttl: u64 = ttl.strip_prefix("ttl_ms=").and_then(|t| t.parse().ok()).expect("a life");
-    assert!(add >= 1.0 && (1..=60_000).contains(&ttl), "{add} {ttl}");
+    let ttl: u64 = ttl.strip_prefix("ttl_ms=").and_then(|t| t.parse().ok()).expect("a TTL");
+    assert!(add >= 1.0 && (1..=60_000).contains(&ttl), "add={add}, ttl_ms={ttl}");
 }
 
 #[test]
 fn every_request_is_answered_whatever_the_counter_returns() {
     let heads = ["200 OK", "503 Busy", "404 None", "500 Broken", "nonsense", "200 OK\r\nContent-Length: x"];
     for head in heads {
-        let (one, bad) = (stand_in(serve_ok), stand_in(move |_, _, s| write_response(s, head, "nan")));
-        let limiter = LimiterSetup::new(&[&one], &bad).start();
+        let (server, bad_counter) =
+            (stand_in(serve_hi), stand_in(move |_, _, s| write_response(s, head, "nan")));
+        let limiter = LimiterSetup::new(&[&server], &bad_counter).start();
         let mut client = limiter.client();
         for n in 0..3 {
             let status = client.exchange(&request("look", &n.to_string(), "team", 9000)).status();
             assert!([200, 429].contains(&status), "{head}: {status}");
         }
-        assert!(bad.requests.try_iter().count() >= 1, "{head}: the counter was called");
+        assert!(bad_counter.requests.try_iter().count() >= 1, "{head}: the counter was never called");
     }
 }
 
 #[test]
 fn requests_are_answered_when_the_counter_is_unresponsive_or_unreachable() {
-    let (one, silent) = (stand_in(serve_ok), stand_in(|_, _, _| std::thread::park()));
-    let limiter = LimiterSetup::new(&[&one], &silent).start();
+    let (server, unresponsive) = (stand_in(serve_hi), stand_in(|_, _, _| std::thread::park()));
+    let limiter = LimiterSetup::new(&[&server], &unresponsive).start();
     let status = limiter.client().exchange(&request("look", "1", "team", 30_000)).status();
     assert!([200, 429].contains(&status), "{status}");
-    let mut setup = LimiterSetup::new(&[&one], &silent);
+    let mut setup = LimiterSetup::new(&[&server], &unresponsive);
     setup.counter = unused_address();
     let limiter = setup.start();
     let status = limiter.client().exchange(&request("look", "1", "team", 30_000)).status();
@@ -126,76 +136,77 @@
 
 #[test]
 fn invalid_datagrams_are_dropped() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-    let limiter = LimiterSetup::new(&[&one], &counter).start();
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let (server, counter) = (stand_in(serve_hi), counter_stand_in());
+    let limiter = LimiterSetup::new(&[&server], &counter).start();
+    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     for data in [&[][..], &[0], &[255; 16], &[0; 16], &[1; 13], &[2; 256], &[0; 300]] {
         for from in [&limiter.peer_socket, &stranger] {
-            from.send_to(data, limiter.peer_listen).expect("sent");
+            from.send_to(data, limiter.peer_listen).expect("datagram is sent");
         }
     }
     assert!(limiter.passes_health_check());
     assert_eq!(limiter.client().exchange(&request("look", "1", "team", 9000)).status(), 200);
 }
 
-/// What the module has leased for small quotas goes between limiters: the other's question gets an answer.
+/// Limiters exchange units that they have leased for small quotas: one that asks another for some gets a response.
 #[test]
 fn a_datagram_from_a_peer_is_answered() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-    let limiter = LimiterSetup::new(&[&one], &counter).start();
-    let mut ask = vec![0];
-    ask.extend(7_u64.to_le_bytes());
-    ask.extend(1_f32.to_le_bytes());
-    ask.push(1);
-    ask.extend(2_u16.to_le_bytes());
-    limiter.peer_socket.send_to(&ask, limiter.peer_listen).expect("sent");
-    let mut data = [0; 300];
-    let (len, _) = limiter.peer_socket.recv_from(&mut data).expect("an answer");
-    assert_eq!((len, data[0], &data[1..9]), (13, 1, &7_u64.to_le_bytes()[..]));
+    let (server, counter) = (stand_in(serve_hi), counter_stand_in());
+    let limiter = LimiterSetup::new(&[&server], &counter).start();
+    let mut datagram = vec![0];
+    datagram.extend(7_u64.to_le_bytes());
+    datagram.extend(1_f32.to_le_bytes());
+    datagram.push(1);
+    datagram.extend(2_u16.to_le_bytes());
+    limiter.peer_socket.send_to(&datagram, limiter.peer_listen).expect("datagram is sent");
+    let mut response = [0; 300];
+    let (len, _) = limiter.peer_socket.recv_from(&mut response).expect("a response");
+    assert_eq!((len, response[0], &response[1..9]), (13, 1, &7_u64.to_le_bytes()[..]));
 }
 
 #[test]
 fn after_sigterm_new_requests_are_served_until_a_clean_exit() {
-    let (go, wait) = channel::<()>();
+    let (release, wait) = channel::<()>();
     let wait = Mutex::new(wait);
-    let (one, counter) = (
+    let (server, counter) = (
         stand_in(move |_, m, s| {
             if m.header("req-id") == Some("held") {
-                let _ = wait.lock().expect("no panic while it is held").recv();
+                let _ = wait.lock().expect("lock is not poisoned").recv();
             }
             write_response(s, "200 OK", "hi");
         }),
         counter_stand_in(),
     );
-    let mut limiter = LimiterSetup::new(&[&one], &counter).start();
+    let mut limiter = LimiterSetup::new(&[&server], &counter).start();
     let (mut held, mut kept) = (limiter.client(), limiter.client());
     assert_eq!(kept.exchange(&request("look", "before", "team", 9000)).status(), 200);
     held.write(&request("look", "held", "team", 9000));
-    while one.requests.recv_timeout(TIMEOUT).expect("an attempt").1.header("req-id") != Some("held") {}
+    // Waits until the server has received this request.
+    while server.requests.recv_timeout(TIMEOUT).expect("an attempt").1.header("req-id") != Some("held") {}
     limiter.terminate();
-    // Not ready any more: that it knows of its end shows on a connection opened after it was told.
+    // A health check that fails on a new connection shows that the limiter has processed SIGTERM.
     let mut new = loop {
         let mut new = limiter.client();
-        let answer = new.exchange("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
-        if answer.status() == 503 {
-            assert_eq!(answer.header("connection"), Some("close"));
+        let response = new.exchange("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+        if response.status() == 503 {
+            assert_eq!(response.header("connection"), Some("close"));
             break limiter.client();
         }
     };
-    let answer = new.exchange(&request("look", "after", "team", 9000));
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    go.send(()).expect("the server waits");
-    let answer = held.read_response().expect("an answer");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    let response = new.exchange(&request("look", "after", "team", 9000));
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
+    release.send(()).expect("stand-in is running");
+    let response = held.read_response().expect("a response");
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert!(limiter.wait_for_exit().success());
 }
 
 #[test]
 fn an_invalid_configuration_is_reported_in_one_line_that_names_the_key() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
+    let (server, counter) = (stand_in(serve_hi), counter_stand_in());
     let addresses = [unused_address(), unused_address()];
     let good =
-        LimiterSetup::new(&[&one], &counter).config_json(unused_address(), unused_address(), &addresses);
+        LimiterSetup::new(&[&server], &counter).config_json(unused_address(), unused_address(), &addresses);
     let cases: Vec<(&str, String)> = vec![
         ("ROUTER_CONFIG", "{".into()),
         ("listen", good.replace("\"listen\":", "\"x\":")),
@@ -217,7 +228,7 @@
     for (key, config) in cases {
         assert_ne!(config, good, "{key}");
         let output = wait_for_output(spawn_with_config(&config));
-        let text = String::from_utf8(output.stderr).expect("text");
+        let text = String::from_utf8(output.stderr).expect("UTF-8 output");
         assert!(!output.status.success(), "{key}");
         assert_eq!(text.lines().count(), 1, "{text}");
         assert!(text.contains(key), "{key}: {text}");
@@ -228,28 +239,28 @@
         String::from_utf8_lossy(&output.stderr).contains("ROUTER_CONFIG is not set")
             || String::from_utf8_lossy(&output.stderr).contains("ROUTER_CONFIG: is not set")
     );
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let taken = taken.local_addr().map(|a| (taken, a)).expect("its address");
-    let config = LimiterSetup::new(&[&one], &counter).config_json(taken.1, unused_address(), &addresses);
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let in_use = listener.local_addr().expect("a local address");
+    let config = LimiterSetup::new(&[&server], &counter).config_json(in_use, unused_address(), &addresses);
     let output = wait_for_output(spawn_with_config(&config));
     assert!(!output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).starts_with("limeway: listen: "));
 }
 
-/// Guards against connections beyond what the process may hold: they wait or are turned away, and service is
-/// back once they are gone.
+/// Guards against connections beyond the descriptor limit that stop service: they must wait or be rejected, and
+/// requests be served again once they are closed.
 #[test]
 fn connections_beyond_the_descriptor_limit_do_not_stop_service() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-    let mut setup = LimiterSetup::new(&[&one], &counter);
+    let (server, counter) = (stand_in(serve_hi), counter_stand_in());
+    let mut setup = LimiterSetup::new(&[&server], &counter);
     setup.sockets = 100;
     let limiter = setup.start();
     let mut many: Vec<TcpStream> =
         (0..120).map(|_| TcpStream::connect(limiter.address).expect("a connection")).collect();
-    // Idle ones make room: a request on a new connection is answered while all the others stay.
+    // The limiter evicts idle connections: a request on a new one is answered while the clients keep the others open.
     let status = limiter.client().exchange(&request("look", "1", "team", 9000)).status();
     assert!([200, 429, 503].contains(&status), "{status}");
-    // Half a request holds its connection; it is cut off in time, or goes with its client.
+    // A partial request occupies its connection until the request times out or the client disconnects.
     for stream in &mut many {
         let _ = stream.write_all(b"GET /look");
     }
@@ -261,26 +272,27 @@
 
 #[test]
 fn a_request_cut_short_by_its_client_is_not_forwarded() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-    let limiter = LimiterSetup::new(&[&one], &counter).start();
-    let whole = request("book", "1", "team", 9000);
-    for end in [1, 20, whole.len() / 2, whole.len() - 1] {
+    let (server, counter) = (stand_in(serve_hi), counter_stand_in());
+    let limiter = LimiterSetup::new(&[&server], &counter).start();
+    let text = request("book", "1", "team", 9000);
+    for length in [1, 20, text.len() / 2, text.len() - 1] {
         let mut client = limiter.client();
-        client.write(&whole[..end]);
-        client.stream.shutdown(std::net::Shutdown::Write).expect("an end");
-        assert_eq!(client.stream.read(&mut [0; 1]).ok(), Some(0), "{end}");
+        client.write(&text[..length]);
+        client.stream.shutdown(std::net::Shutdown::Write).expect("sending is shut down");
+        assert_eq!(client.stream.read(&mut [0; 1]).ok(), Some(0), "after {length} bytes");
     }
-    assert_eq!(one.requests.recv_timeout(Duration::ZERO).ok().map(|_| ()), None);
+    assert_eq!(server.requests.recv_timeout(Duration::ZERO).ok().map(|_| ()), None);
     assert!(limiter.passes_health_check());
 }
 
-/// Guards against SIGHUP's default action, a watch that hangs at the old agent, and calls that go on to the old
-/// counter. Requests go on all the while, and none is lost.
+/// Guards against the default action of SIGHUP (the process ends), a watch that keeps waiting at the old discovery
+/// address, and calls that still go to the old counter address. Requests are sent all the while, and each is
+/// answered.
 #[test]
 fn after_sighup_new_addresses_of_discovery_and_counter_are_used() {
     let (servers, counters) =
-        ([stand_in(serve_ok), stand_in(serve_ok)], [counter_stand_in(), counter_stand_in()]);
-    let lists: Vec<_> = servers
+        ([stand_in(serve_hi), stand_in(serve_hi)], [counter_stand_in(), counter_stand_in()]);
+    let discoveries: Vec<_> = servers
         .iter()
         .enumerate()
         .map(|(n, s)| {
@@ -292,102 +304,105 @@
         })
         .collect();
     let mut setup = LimiterSetup::new(&[&servers[0]], &counters[0]);
-    setup.discovery = Some(lists[0].0.address);
+    setup.discovery = Some(discoveries[0].0.address);
     let mut limiter = setup.start();
-    let moved = limiter
+    let moved_config = limiter
         .config
-        .replace(&lists[0].0.address.to_string(), &lists[1].0.address.to_string())
+        .replace(&discoveries[0].0.address.to_string(), &discoveries[1].0.address.to_string())
         .replace(&counters[0].address.to_string(), &counters[1].address.to_string());
-    let first = limiter.config.clone();
+    let first_config = limiter.config.clone();
     let mut client = limiter.client();
-    let serve = |client: &mut Client, to: usize| {
+    let request_until_used = |client: &mut Client, to: usize| {
         let end = std::time::Instant::now() + TIMEOUT;
         for n in 0.. {
             let status = client.exchange(&request("look", &format!("{to}-{n}"), "team", 9000)).status();
             assert!([200, 429].contains(&status), "{status}");
-            let (here, called) =
+            let (served, counted) =
                 (servers[to].requests.try_iter().count(), counters[to].requests.try_iter().count());
-            if here > 0 && called > 0 {
+            if served > 0 && counted > 0 {
                 return;
             }
-            assert!(std::time::Instant::now() < end, "server and counter {to} are not used");
+            assert!(std::time::Instant::now() < end, "server {to} and counter {to} are not used");
             std::thread::sleep(Duration::from_millis(10));
         }
     };
-    serve(&mut client, 0);
-    for (config, to) in [(&moved, 1), (&first, 0), (&moved, 1)] {
+    request_until_used(&mut client, 0);
+    for (config, to) in [(&moved_config, 1), (&first_config, 0), (&moved_config, 1)] {
         limiter.reload(config);
-        serve(&mut client, to);
-        // What had begun elsewhere is over by now, and nothing new goes there.
+        request_until_used(&mut client, to);
+        // Earlier attempts at the other server have ended by now: discards them and checks that there are no new ones.
         servers[1 - to].requests.try_iter().count();
-        serve(&mut client, to);
+        request_until_used(&mut client, to);
         assert_eq!(servers[1 - to].requests.try_iter().count(), 0);
     }
     limiter.reload("{");
-    limiter.reload(&first.replace("\"seed\":", "\"x\":"));
-    serve(&mut client, 1);
+    limiter.reload(&first_config.replace("\"seed\":", "\"x\":"));
+    request_until_used(&mut client, 1);
     limiter.terminate();
     assert!(limiter.wait_for_exit().success());
 }
 
-/// Guards against taking a total that cannot be read for a counter that is lost: what was added is known after a
-/// call that adds nothing. The connection that brought it is not used again.
+/// Guards against taking an unreadable total for a counter that is unreachable: a call that adds 0 returns the total
+/// again. The connection on which the unreadable total came is not reused.
 #[test]
 fn an_unreadable_counter_total_is_requested_again() {
-    for spoilt in ["1x7", "--3", "inf", ""] {
-        let (one, counter) = (
-            stand_in(serve_ok),
+    for unreadable in ["1x7", "--3", "inf", ""] {
+        let (server, counter) = (
+            stand_in(serve_hi),
             stand_in(move |_, m, s| {
-                write_response(s, "200 OK", if m.start_line.contains("add=0&") { "1" } else { spoilt })
+                write_response(s, "200 OK", if m.start_line.contains("add=0&") { "1" } else { unreadable })
             }),
         );
-        let limiter = LimiterSetup::new(&[&one], &counter).start();
+        let limiter = LimiterSetup::new(&[&server], &counter).start();
         assert_eq!(limiter.client().exchange(&request("look", "1", "team", 9000)).status(), 200);
         let calls: Vec<_> = counter.requests.try_iter().collect();
-        assert!(calls.len() == 2 && calls[1].1.start_line.contains("add=0&"), "{spoilt}: {calls:?}");
-        assert_ne!(calls[0].0, calls[1].0, "{spoilt}: the connection was used again");
+        assert!(calls.len() == 2 && calls[1].1.start_line.contains("add=0&"), "{unreadable}: {calls:?}");
+        assert_ne!(calls[0].0, calls[1].0, "{unreadable}: the connection was reused");
     }
 }
 
-/// Guards against clients that connect and say nothing, or never come to an end: each is told so or closed within
-/// 3 s (told by a wide margin here, as CI may be slow), and one that asks meanwhile is served.
+/// Guards against clients that connect and send nothing: their connections are closed within 3 s (the test allows 9
+/// s, as CI may be slow), and other clients are served meanwhile.
 #[test]
 fn silent_connections_are_closed_and_other_clients_served() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-    let mut setup = LimiterSetup::new(&[&one], &counter);
+    let (server, counter) = (stand_in(serve_hi), counter_stand_in());
+    let mut setup = LimiterSetup::new(&[&server], &counter);
     setup.sockets = 128;
     let limiter = setup.start();
-    let mut crowd: Vec<TcpStream> =
+    let mut silent: Vec<TcpStream> =
         (0..300).map(|_| TcpStream::connect(limiter.address).expect("a connection")).collect();
     for n in 0..5 {
-        let answer = limiter.client().exchange(&request("look", &n.to_string(), "team", 9000));
-        assert_eq!(answer.status(), 200, "while a crowd stands by");
+        let response = limiter.client().exchange(&request("look", &n.to_string(), "team", 9000));
+        assert_eq!(response.status(), 200, "while silent connections are open");
     }
-    for stream in &mut crowd {
-        stream.set_read_timeout(Some(Duration::from_secs(9))).expect("a time-out");
+    for stream in &mut silent {
+        stream.set_read_timeout(Some(Duration::from_secs(9))).expect("read time-out is set");
         let ended = stream.read(&mut [0; 1]);
-        assert!(!matches!(&ended, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock), "still open");
+        assert!(
+            !matches!(&ended, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock),
+            "a silent connection is still open"
+        );
     }
 }
 
 #[test]
 fn an_incomplete_request_head_gets_408_in_time() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-    let limiter = LimiterSetup::new(&[&one], &counter).start();
+    let (server, counter) = (stand_in(serve_hi), counter_stand_in());
+    let limiter = LimiterSetup::new(&[&server], &counter).start();
     for part in ["GET /look", "GET /look/1 HTTP/1.1\r\nX: y\r\n"] {
         let mut client = limiter.client();
-        client.stream.set_read_timeout(Some(Duration::from_secs(9))).expect("a time-out");
+        client.stream.set_read_timeout(Some(Duration::from_secs(9))).expect("read time-out is set");
         client.write(part);
         assert_eq!(client.read_response().map(|a| a.status()), Some(408), "{part}");
     }
 }
 
-/// Guards against a wrong request that gets no error because its client is ahead of the limiter: it was all there,
-/// and the client's sending over, before its connection was accepted.
+/// Guards against an invalid request that gets no error response because it had arrived whole, and its client had
+/// ended its sending, before the connection was accepted.
 #[test]
 fn a_message_received_whole_before_accept_gets_its_response() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-    let limiter = LimiterSetup::new(&[&one], &counter).start();
+    let (server, counter) = (stand_in(serve_hi), counter_stand_in());
+    let limiter = LimiterSetup::new(&[&server], &counter).start();
     limiter.pause();
     let too_long = format!(
         "POST /once/00000000b4d65521 HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n{}",
@@ -404,78 +419,82 @@
     }
     limiter.resume();
     for ((text, status), client) in cases.iter().zip(&mut clients) {
-        let answer = client.read_response();
-        assert_eq!(answer.map(|a| a.status()), Some(*status), "{}", &text[..10.min(text.len())]);
+        let response = client.read_response();
+        assert_eq!(response.map(|a| a.status()), Some(*status), "{}", &text[..10.min(text.len())]);
     }
 }
 
-/// Guards against closing a useful connection to make room: one that has asked and is used goes on.
+/// Guards against evicting a connection in use to make room for new ones.
 #[test]
 fn a_connection_in_use_is_not_evicted_by_new_ones() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-    let mut setup = LimiterSetup::new(&[&one], &counter);
+    let (server, counter) = (stand_in(serve_hi), counter_stand_in());
+    let mut setup = LimiterSetup::new(&[&server], &counter);
     setup.sockets = 128;
     let limiter = setup.start();
     let mut kept = limiter.client();
     assert_eq!(kept.exchange(&request("look", "before", "team", 9000)).status(), 200);
-    // Idle connections go oldest first, so it is used all the while: none of its pauses is long.
-    let mut crowd = Vec::new();
+    // Idle connections are evicted oldest first; the connection in use is never idle for long.
+    let mut idle = Vec::new();
     for n in 0..15 {
-        crowd.extend((0..10).map(|_| TcpStream::connect(limiter.address).expect("a connection")));
+        idle.extend((0..10).map(|_| TcpStream::connect(limiter.address).expect("a connection")));
         assert_eq!(kept.exchange(&request("look", &format!("{n}"), "team", 9000)).status(), 200);
     }
-    assert!(limiter.passes_health_check(), "the crowd was accepted before this one");
+    assert!(limiter.passes_health_check(), "all earlier connections have been accepted");
     assert_eq!(kept.exchange(&request("look", "after", "team", 9000)).status(), 200);
-    drop(crowd);
+    drop(idle);
 }
 
-/// Guards against one row that takes the whole list with it, and against a spoilt list that is taken for an empty
-/// fleet: the rows that can be read count, and servers that are not named stay.
+/// Guards against discarding a whole list because of one malformed row, and against taking a list of malformed rows
+/// for an empty fleet: the valid rows are applied, and servers that a list with malformed rows does not name stay in
+/// service.
 #[test]
 fn a_malformed_row_does_not_affect_other_servers() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-    let bad = ["7".to_owned(), r#"{"host":5}"#.to_owned(), r#"{"host":"s-0","health":"SERVING"}"#.to_owned()];
-    let mut rows = bad.to_vec();
-    rows.push(server_row("s-0", one.address, "SERVING"));
-    let (list_server, _news) = discovery_stand_in(server_list(1, true, &rows));
+    let (server, counter) = (stand_in(serve_hi), counter_stand_in());
+    let malformed =
+        ["7".to_owned(), r#"{"host":5}"#.to_owned(), r#"{"host":"s-0","health":"SERVING"}"#.to_owned()];
+    let mut rows = malformed.to_vec();
+    rows.push(server_row("s-0", server.address, "SERVING"));
+    let (discovery, _updates) = discovery_stand_in(server_list(1, true, &rows));
     let mut setup = LimiterSetup::new(&[], &counter);
-    setup.discovery = Some(list_server.address);
+    setup.discovery = Some(discovery.address);
     let limiter = setup.start();
     assert_eq!(limiter.client().exchange(&request("look", "1", "team", 9000)).status(), 200);
 
-    let (list_server, updates) =
-        discovery_stand_in(server_list(1, true, &[server_row("s-0", one.address, "SERVING")]));
-    setup.discovery = Some(list_server.address);
+    let (discovery, updates) =
+        discovery_stand_in(server_list(1, true, &[server_row("s-0", server.address, "SERVING")]));
+    setup.discovery = Some(discovery.address);
     let limiter = setup.start();
-    updates.send(server_list(2, true, &bad)).expect("a watch");
-    // Taken in once the next call comes.
-    while !list_server.requests.recv_timeout(TIMEOUT).expect("a call").1.start_line.contains("from=1&") {}
-    list_server.requests.recv_timeout(TIMEOUT).expect("a call");
+    updates.send(server_list(2, true, &malformed)).expect("discovery stand-in is running");
+    // The list with malformed rows has been applied once the call after it arrives.
+    while !discovery.requests.recv_timeout(TIMEOUT).expect("a call").1.start_line.contains("from=1&") {}
+    discovery.requests.recv_timeout(TIMEOUT).expect("a call");
     assert_eq!(limiter.client().exchange(&request("look", "2", "team", 9000)).status(), 200);
 }
 
-/// Guards against tables that grow with every new id: hundreds of servers come and go at one address, and numbers
-/// are given again; requests go on and reach only what is listed.
+/// Guards against tables that grow with every new host name: 200 servers come and go at one address, and their
+/// numbers are reused. Requests still go only to listed servers.
 #[test]
 fn servers_that_keep_changing_their_host_name_are_followed() {
-    let (one, stays, counter) = (stand_in(serve_ok), stand_in(serve_ok), counter_stand_in());
-    let first = [server_row("s-0", one.address, "SERVING"), server_row("stays", stays.address, "SERVING")];
-    let (list_server, updates) = discovery_stand_in(server_list(1, true, &first));
+    let (replaced, stays, counter) = (stand_in(serve_hi), stand_in(serve_hi), counter_stand_in());
+    let first =
+        [server_row("s-0", replaced.address, "SERVING"), server_row("stays", stays.address, "SERVING")];
+    let (discovery, updates) = discovery_stand_in(server_list(1, true, &first));
     let mut setup = LimiterSetup::new(&[], &counter);
-    setup.discovery = Some(list_server.address);
+    setup.discovery = Some(discovery.address);
     let limiter = setup.start();
     for n in 1..200 {
         let rows = [
-            server_row(&format!("s-{}", n - 1), one.address, "DELETED"),
-            server_row(&format!("s-{n}"), one.address, "SERVING"),
+            server_row(&format!("s-{}", n - 1), replaced.address, "DELETED"),
+            server_row(&format!("s-{n}"), replaced.address, "SERVING"),
         ];
-        updates.send(server_list(n + 1, false, &rows)).expect("a watch");
+        updates.send(server_list(n + 1, false, &rows)).expect("discovery stand-in is running");
     }
-    while !list_server.requests.recv_timeout(TIMEOUT).expect("a watch").1.start_line.contains("from=200&") {}
-    // The last one is new and so cold: most of what is asked goes to the other.
+    // Waits for the watch that shows that version 200 is applied.
+    while !discovery.requests.recv_timeout(TIMEOUT).expect("a watch").1.start_line.contains("from=200&") {}
+    // The last one is new and in slow start, so most requests go to the other server.
     let mut client = limiter.client();
     for n in 0..20 {
         assert_eq!(client.exchange(&request("look", &n.to_string(), "team", 30_000)).status(), 200);
     }
-    assert_eq!(one.requests.try_iter().count() + stays.requests.try_iter().count(), 20);
+    assert_eq!(replaced.requests.try_iter().count() + stays.requests.try_iter().count(), 20);
 }
