--- a/limeway/tests/closing.rs
+++ b/limeway/tests/closing.rs
@@ -1,4 +1,4 @@
-//! Bytes that arrive in the very moment in which a connection is shut or closed, against the real program.
+//! Bytes that arrive while a connection is being shut down or closed, against the real program.
 
 mod common;
 use common::*;
@@ -10,76 +10,79 @@
 use std::thread;
 use std::time::Duration;
 
-/// Reads to the end of a connection; an error where it was reset.
-fn to_the_end(mut stream: TcpStream) -> std::io::Result<String> {
+/// Reads to the end of a connection; an error if it was reset.
+fn read_to_end(mut stream: TcpStream) -> std::io::Result<String> {
     let mut text = String::new();
     stream.read_to_string(&mut text)?;
     Ok(text)
 }
 
-/// Guards against a close over bytes that are unread: that resets the connection, and what was on its way with it.
+/// Guards against closing a connection with unread bytes: the system then resets it, and a response in flight is
+/// lost.
 #[test]
 fn bytes_after_the_last_request_do_not_reset_the_connection() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-    let limiter = LimiterSetup::new(&[&one], &counter).start();
-    let asks = request("look", "last", "team", 9000);
-    let last = asks.replacen("Host:", "Connection: close\r\nHost:", 1);
+    let (server, counter) = (stand_in(serve_ok), counter_stand_in());
+    let limiter = LimiterSetup::new(&[&server], &counter).start();
+    let plain = request("look", "last", "team", 9000);
+    let last = plain.replacen("Host:", "Connection: close\r\nHost:", 1);
     let bad = "NONSENSE\r\n\r\n".to_owned();
-    // Answered at once, with what is behind it still to come.
+    // This one is answered at once, while the bytes behind it are still arriving.
     let health = "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".to_owned();
     for (first, status) in [(last, "200 "), (bad, "400 "), (health, "200 ")] {
         for behind in [1, 1_000, 100_000] {
             let client = limiter.client();
-            let mut stream = client.stream.try_clone().expect("a second handle");
+            let mut stream = client.stream.try_clone().expect("stream is cloned");
             let bytes = [first.as_bytes(), &vec![b'x'; behind]].concat();
-            // It may be cut off while it writes, but not before it has its answer.
+            // Writing may fail once the limiter closes the connection; the response must have arrived by then.
             let writer = thread::spawn(move || drop(stream.write_all(&bytes)));
-            let text = to_the_end(client.stream.try_clone().expect("a second handle"));
-            let seen = format!("{status}, {behind} bytes behind: {text:?}");
-            assert!(text.is_ok_and(|t| t.starts_with(&format!("HTTP/1.1 {status}"))), "{seen}");
-            writer.join().expect("it ends");
+            let text = read_to_end(client.stream.try_clone().expect("stream is cloned"));
+            let case = format!("{status}, {behind} bytes behind: {text:?}");
+            assert!(text.is_ok_and(|t| t.starts_with(&format!("HTTP/1.1 {status}"))), "{case}");
+            writer.join().expect("thread does not panic");
         }
     }
 }
 
-/// Guards against a request that is read after the limiter has ended its connection, and sent on though nobody can
-/// be answered: clients ask without a pause, also in the moment in which their connections are closed.
+/// Guards against a request that is read after the limiter has shut down its connection, and forwarded although it
+/// can no longer be answered: clients send requests throughout, also at the moment in which their connections are
+/// closed.
 #[test]
 fn every_request_forwarded_during_shutdown_is_answered() {
     for round in 0..3 {
-        let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-        let mut limiter = LimiterSetup::new(&[&one], &counter).start();
+        let (server, counter) = (stand_in(serve_ok), counter_stand_in());
+        let mut limiter = LimiterSetup::new(&[&server], &counter).start();
         let clients: Vec<_> = (0..16)
-            .map(|me| {
+            .map(|number| {
                 let mut client = limiter.client();
                 thread::spawn(move || {
                     let mut answered = Vec::new();
                     for n in 0.. {
-                        let id = format!("{me}-{n}");
+                        let id = format!("{number}-{n}");
                         client.write(&request("look", &id, "team", 9000));
                         match client.read_response() {
                             Some(_) => answered.push(id),
                             None => break,
                         }
-                        // Some rest until the limiter ends them, and ask just then.
-                        thread::sleep(Duration::from_millis([0, 5, 40, 450][me % 4]));
+                        // With pauses of 450 ms, requests arrive just when the limiter closes idle connections.
+                        thread::sleep(Duration::from_millis([0, 5, 40, 450][number % 4]));
                     }
                     answered
                 })
             })
             .collect();
-        while one.requests.recv_timeout(TIMEOUT).expect("a request").1.header("req-id") != Some("1-1") {}
+        // Waits until the server has received this request.
+        while server.requests.recv_timeout(TIMEOUT).expect("a request").1.header("req-id") != Some("1-1") {}
         limiter.terminate();
         assert!(limiter.wait_for_exit().success());
         let answered: BTreeSet<String> =
-            clients.into_iter().flat_map(|c| c.join().expect("it ends")).collect();
-        let sent = one.requests.try_iter().filter_map(|r| r.1.header("req-id").map(str::to_owned));
-        let lost: Vec<String> = sent.filter(|id| !answered.contains(id)).collect();
-        assert!(lost.is_empty(), "round {round}: {lost:?}");
+            clients.into_iter().flat_map(|c| c.join().expect("thread does not panic")).collect();
+        let sent = server.requests.try_iter().filter_map(|r| r.1.header("req-id").map(str::to_owned));
+        let unanswered: Vec<String> = sent.filter(|id| !answered.contains(id)).collect();
+        assert!(unanswered.is_empty(), "round {round}: no response to {unanswered:?}");
     }
 }
 
-/// Guards against an answer without a length that is taken to end where its connection was reset.
+/// Guards against taking a reset for the end of a response without a length.
 #[test]
 fn a_reset_does_not_complete_a_response_without_a_length() {
     for class in ["once", "look"] {
@@ -88,16 +91,17 @@
             let _ = s.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\nhalf of it");
             reset(s);
         };
-        let (one, two) = (stand_in(cut), stand_in(cut));
-        let limiter = LimiterSetup::new(&[&one, &two], &counter).start();
+        let (server_0, server_1) = (stand_in(cut), stand_in(cut));
+        let limiter = LimiterSetup::new(&[&server_0, &server_1], &counter).start();
         assert_eq!(limiter.client().exchange(&request(class, "1", "team", 9000)).status(), 502, "{class}");
-        let attempts = one.requests.try_iter().count() + two.requests.try_iter().count();
+        let attempts = server_0.requests.try_iter().count() + server_1.requests.try_iter().count();
         assert_eq!(attempts > 1, class == "look", "{class}: {attempts} attempts");
     }
 }
 
-/// Writes an answer that tells no length, its body in these pieces, and ends the connection in an orderly way.
-fn answer_without_length(stream: &mut TcpStream, pieces: &[&str]) {
+/// Writes a response without a length, with its body in these pieces, and shuts down the sending side of the
+/// connection.
+fn respond_without_length(stream: &mut TcpStream, pieces: &[&str]) {
     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\n");
     for piece in pieces {
         let _ = stream.write_all(piece.as_bytes());
@@ -106,7 +110,8 @@
     let _ = stream.shutdown(Shutdown::Write);
 }
 
-/// Guards against good work that is thrown away: an orderly end is the end of an answer that tells no length.
+/// Guards against discarding a complete response: one without a length ends when the server shuts down the
+/// connection.
 #[test]
 fn a_complete_response_without_a_length_is_returned() {
     let long = "x".repeat(100_000);
@@ -118,79 +123,87 @@
     ] {
         let text = pieces.concat();
         let sent: Vec<String> = pieces.iter().map(|piece| (*piece).to_owned()).collect();
-        let one = stand_in(move |_, _, stream| {
+        let server = stand_in(move |_, _, stream| {
             let pieces: Vec<&str> = sent.iter().map(String::as_str).collect();
-            answer_without_length(stream, &pieces);
+            respond_without_length(stream, &pieces);
         });
         let counter = counter_stand_in();
-        let limiter = LimiterSetup::new(&[&one], &counter).start();
+        let limiter = LimiterSetup::new(&[&server], &counter).start();
         for n in 0..10 {
-            let answer = limiter.client().exchange(&request(class, &n.to_string(), "team", 9000));
-            assert_eq!((answer.status(), answer.body == text), (200, true), "{class}, request {n}");
+            let response = limiter.client().exchange(&request(class, &n.to_string(), "team", 9000));
+            assert_eq!((response.status(), response.body == text), (200, true), "{class}, request {n}");
         }
-        assert_eq!(one.requests.try_iter().count(), 10, "{class}: one attempt each");
+        assert_eq!(server.requests.try_iter().count(), 10, "{class}: one attempt each");
     }
 }
 
-/// Guards against a cut answer that is served: a body that is empty, one that holds a second answer, and one whose
-/// server went down as it came, so that all its connections ended with it.
+/// Guards against returning a truncated response. Three responses without a length are not trusted: one with an empty
+/// body, one whose body contains a second response, and one whose server ended all its connections at the same time,
+/// as a server that is shutting down does.
 #[test]
 fn a_response_without_a_length_that_may_be_truncated_is_not_returned() {
-    let second = "served\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved";
-    for (body, goes_down) in [("", false), (second, false), ("half of it", true)] {
+    let two_responses = "served\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved";
+    for (body, shuts_down) in [("", false), (two_responses, false), ("half of it", true)] {
         let counter = counter_stand_in();
-        let (go, held) = channel::<()>();
-        let (connections, held) = (Mutex::new(Vec::<TcpStream>::new()), Mutex::new(held));
-        let one = stand_in(move |_, message, stream| {
+        let (release, wait) = channel::<()>();
+        let (connections, wait) = (Mutex::new(Vec::<TcpStream>::new()), Mutex::new(wait));
+        let server = stand_in(move |_, message, stream| {
             if message.header("req-id") != Some("last") {
-                connections.lock().expect("no panic").push(stream.try_clone().expect("a second handle"));
-                // Two are open at once, so that one of them is idle later.
-                let _ = held.lock().expect("no panic").recv_timeout(TIMEOUT);
+                connections
+                    .lock()
+                    .expect("lock is not poisoned")
+                    .push(stream.try_clone().expect("stream is cloned"));
+                // Both requests are held, so that each has a connection of its own, and one of these is idle later.
+                let _ = wait.lock().expect("lock is not poisoned").recv_timeout(TIMEOUT);
                 return write_response(stream, "200 OK", "served");
             }
-            let open = connections.lock().expect("no panic");
-            for connection in open.iter().filter(|_| goes_down) {
+            let open = connections.lock().expect("lock is not poisoned");
+            for connection in open.iter().filter(|_| shuts_down) {
                 if connection.peer_addr().ok() != stream.peer_addr().ok() {
                     let _ = connection.shutdown(Shutdown::Write);
                 }
             }
-            answer_without_length(stream, &[body]);
+            respond_without_length(stream, &[body]);
         });
-        let limiter = LimiterSetup::new(&[&one], &counter).start();
+        let limiter = LimiterSetup::new(&[&server], &counter).start();
         let mut clients: Vec<Client> = (0..2).map(|_| limiter.client()).collect();
         for (n, client) in clients.iter_mut().enumerate() {
             client.write(&request("once", &n.to_string(), "team", 9000));
-            one.requests.recv_timeout(TIMEOUT).expect("it is sent on");
+            server.requests.recv_timeout(TIMEOUT).expect("an attempt");
         }
         for client in &mut clients {
-            go.send(()).expect("it is awaited");
-            assert_eq!(client.read_response().map(|answer| answer.status()), Some(200));
+            release.send(()).expect("stand-in is running");
+            assert_eq!(client.read_response().map(|response| response.status()), Some(200));
         }
-        let answer = clients[0].exchange(&request("once", "last", "team", 9000));
-        assert_eq!(answer.status(), 502, "{body:?}, goes down: {goes_down}");
-        assert_eq!(one.requests.try_iter().count(), 1, "what may have run is not sent again");
+        let response = clients[0].exchange(&request("once", "last", "team", 9000));
+        assert_eq!(response.status(), 502, "{body:?}, shuts down: {shuts_down}");
+        assert_eq!(
+            server.requests.try_iter().count(),
+            1,
+            "an unsafe request that may have run is not retried"
+        );
     }
 }
 
-/// Guards against the end of the process in the middle of a request, whose last byte may just be on its way.
+/// Guards against exiting while a request is partly received: its last bytes may be in flight.
 #[test]
 fn a_partly_received_request_gets_503_at_shutdown() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-    let mut limiter = LimiterSetup::new(&[&one], &counter).start();
+    let (server, counter) = (stand_in(serve_ok), counter_stand_in());
+    let mut limiter = LimiterSetup::new(&[&server], &counter).start();
     let text = request("book", "in-part", "team", 9000);
     let mut clients: Vec<Client> = [1, text.len() / 2, text.len() - 1]
-        .map(|written| {
+        .map(|length| {
             let mut client = limiter.client();
-            client.write(&text[..written]);
+            client.write(&text[..length]);
             client
         })
         .into();
     wait_two_loop_iterations(&limiter);
     limiter.terminate();
     for client in &mut clients {
-        let answer = client.read_response().expect("an answer");
-        assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
+        let response = client.read_response().expect("a response");
+        assert_eq!((response.status(), response.header("connection")), (503, Some("close")));
     }
     assert!(limiter.wait_for_exit().success());
-    assert!(one.requests.try_recv().is_err(), "nothing is sent on");
+    assert!(server.requests.try_recv().is_err(), "a partial request was forwarded");
 }
