--- a/limeway/tests/telling.rs
+++ b/limeway/tests/telling.rs
@@ -1,5 +1,5 @@
-//! What discovery has is in force within the time after which it counts as told, whatever it did before: the real
-//! program against a discovery that is silent, refuses, resets or answers rubbish.
+//! After an outage of discovery, a change of its list takes effect within 6 s, whatever the outage was: the real
+//! program against a discovery that does not respond, returns errors, resets connections or returns malformed lists.
 
 mod common;
 use common::*;
@@ -7,10 +7,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A change counts as told so long after discovery had it and could be reached.
-const TOLD: Duration = Duration::from_secs(6);
+/// The limiter counts as notified of a change this long after discovery had it and could be reached.
+const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 
-/// In which state discovery fails its limiter.
+/// When discovery becomes faulty for the limiter: at its start, while a watch waits, or with a reload that makes it
+/// use another, faulty discovery.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Stage {
     Start,
@@ -18,19 +19,28 @@
     Reload,
 }
 
-/// Plays an outage, then a change: how long it takes until the limiter is told of it, and that it heeds it.
-fn outage(ask: bool, mode: DiscoveryMode, stage: Stage, length: Duration) -> Result<Duration, String> {
-    let (one, two, counter) = (stand_in(serve_ok), stand_in(serve_ok), counter_stand_in());
-    let rows = [server_row("s-0", one.address, "SERVING"), server_row("s-1", two.address, "SERVING")];
-    let whole = server_list(1, true, &rows);
-    let first = if stage == Stage::Start { mode } else { DiscoveryMode::Respond };
-    let (agent, other) = (faulty_discovery(first, whole.clone()), faulty_discovery(mode, whole));
-    let mut setup = LimiterSetup::new(&[&one, &two], &counter);
-    (setup.ask_mode, setup.gateways, setup.discovery) = (ask, 300, Some(agent.server.address));
+/// Simulates an outage, then drains a server. Returns the time from the end of the outage until the limiter is sent
+/// the change, or an error if it is never sent or the limiter still uses the draining server.
+fn run_outage(
+    ask_mode: bool,
+    mode: DiscoveryMode,
+    stage: Stage,
+    length: Duration,
+) -> Result<Duration, String> {
+    let (server_0, server_1, counter) = (stand_in(serve_ok), stand_in(serve_ok), counter_stand_in());
+    let rows =
+        [server_row("s-0", server_0.address, "SERVING"), server_row("s-1", server_1.address, "SERVING")];
+    let full_list = server_list(1, true, &rows);
+    let initial_mode = if stage == Stage::Start { mode } else { DiscoveryMode::Respond };
+    let (discovery, other_discovery) =
+        (faulty_discovery(initial_mode, full_list.clone()), faulty_discovery(mode, full_list));
+    let mut setup = LimiterSetup::new(&[&server_0, &server_1], &counter);
+    (setup.ask_mode, setup.gateways, setup.discovery) = (ask_mode, 300, Some(discovery.server.address));
     let limiter = setup.start();
     if stage != Stage::Start {
         let end = Instant::now() + TIMEOUT;
-        while !agent
+        // Waits until the limiter starts a watch.
+        while !discovery
             .server
             .requests
             .recv_timeout(TIMEOUT)
@@ -39,28 +49,34 @@
             .start_line
             .contains("hold_ms=3000")
         {
-            assert!(Instant::now() < end, "no watch");
+            assert!(Instant::now() < end, "no watch was started");
         }
     }
     match stage {
-        Stage::Watch => agent.set_mode(mode),
+        Stage::Watch => discovery.set_mode(mode),
         Stage::Reload => {
-            let (old, new) = (agent.server.address.to_string(), other.server.address.to_string());
+            let (old, new) =
+                (discovery.server.address.to_string(), other_discovery.server.address.to_string());
             limiter.reload(&limiter.config.replace(&old, &new));
         }
         Stage::Start => {}
     }
-    // The outage itself, not to order events.
+    // The duration of the outage; this sleep orders no events.
     thread::sleep(length);
-    let agent = if stage == Stage::Reload { other } else { agent };
+    let discovery = if stage == Stage::Reload { other_discovery } else { discovery };
     let reachable = Instant::now();
-    agent.recover_with(server_list(2, true, &[server_row("s-0", one.address, "DRAINING"), rows[1].clone()]));
-    let took = match agent.change_sent.recv_timeout(TIMEOUT) {
+    discovery.recover_with(server_list(
+        2,
+        true,
+        &[server_row("s-0", server_0.address, "DRAINING"), rows[1].clone()],
+    ));
+    let took = match discovery.change_sent.recv_timeout(TIMEOUT) {
         Ok(at) => at - reachable,
-        Err(RecvTimeoutError::Timeout) => return Err("never told".to_owned()),
+        Err(RecvTimeoutError::Timeout) => return Err("the change was never sent".to_owned()),
         Err(e) => return Err(e.to_string()),
     };
-    while !agent
+    // Waits for the watch that shows that the change is applied.
+    while !discovery
         .server
         .requests
         .recv_timeout(TIMEOUT)
@@ -69,13 +85,14 @@
         .start_line
         .contains("from=2&")
     {}
-    one.requests.try_iter().count();
+    // Discards the requests received so far.
+    server_0.requests.try_iter().count();
     for n in 0..4 {
         limiter.client().exchange(&request("look", &n.to_string(), "team", 9000));
     }
-    match one.requests.try_iter().count() {
+    match server_0.requests.try_iter().count() {
         0 => Ok(took),
-        sent => Err(format!("{sent} requests to a server that drains")),
+        sent => Err(format!("{sent} requests to a draining server")),
     }
 }
 
@@ -89,47 +106,48 @@
         DiscoveryMode::MalformedRows,
     ];
     for length in [300, 2_000, 7_000, 20_000] {
-        let plays: Vec<_> = [true, false]
+        let runs: Vec<_> = [true, false]
             .into_iter()
             .flat_map(|ask| modes.map(|mode| (ask, mode)))
             .flat_map(|(ask, mode)| [Stage::Start, Stage::Watch, Stage::Reload].map(|s| (ask, mode, s)))
             .map(|(ask, mode, stage)| {
                 let length = Duration::from_millis(length);
-                (ask, mode, stage, thread::spawn(move || outage(ask, mode, stage, length)))
+                (ask, mode, stage, thread::spawn(move || run_outage(ask, mode, stage, length)))
             })
             .collect();
-        // All are over, and their limiters gone, before any is judged.
-        let plays: Vec<_> = plays.into_iter().map(|(a, m, s, play)| (a, m, s, play.join())).collect();
-        for (ask, mode, stage, took) in plays {
-            let took = took.expect("it is played");
-            let case = format!("asked {ask}, {mode:?} for {length} ms from its {stage:?} on");
-            assert!(took.as_ref().is_ok_and(|took| *took < TOLD), "{case}: {took:?}");
+        // All runs end, and their limiters exit, before any result is checked.
+        let runs: Vec<_> = runs.into_iter().map(|(a, m, s, run)| (a, m, s, run.join())).collect();
+        for (ask, mode, stage, took) in runs {
+            let took = took.expect("thread does not panic");
+            let case = format!("ask mode {ask}, {mode:?} for {length} ms from {stage:?} on");
+            assert!(took.as_ref().is_ok_and(|took| *took < NOTIFIED_AFTER), "{case}: {took:?}");
         }
     }
 }
 
-/// Guards against a spin where a discovery keeps no watch waiting, and against calls that stop because of it.
+/// Guards against calling discovery in a busy loop when it answers every watch at once, and against no longer calling
+/// it.
 #[test]
 fn a_discovery_that_answers_watches_at_once_is_not_called_in_a_busy_loop() {
-    let (one, counter) = (stand_in(serve_ok), counter_stand_in());
-    let whole = server_list(1, true, &[server_row("s-0", one.address, "SERVING")]);
-    for answer in [server_list(1, false, &[]), server_list(7, false, &[]), whole.clone()] {
-        let whole = whole.clone();
-        let agent = stand_in(move |_, message, stream| {
+    let (server, counter) = (stand_in(serve_ok), counter_stand_in());
+    let full_list = server_list(1, true, &[server_row("s-0", server.address, "SERVING")]);
+    for response in [server_list(1, false, &[]), server_list(7, false, &[]), full_list.clone()] {
+        let full_list = full_list.clone();
+        let discovery = stand_in(move |_, message, stream| {
             write_response(
                 stream,
                 "200 OK",
-                if message.start_line.contains("hold_ms=3000") { &answer } else { &whole },
+                if message.start_line.contains("hold_ms=3000") { &response } else { &full_list },
             );
         });
-        let mut setup = LimiterSetup::new(&[&one], &counter);
-        setup.discovery = Some(agent.address);
+        let mut setup = LimiterSetup::new(&[&server], &counter);
+        setup.discovery = Some(discovery.address);
         let _limiter = setup.start();
-        // A hundred calls, one in 100 ms, would take ten seconds; a spin makes them in a few milliseconds. Counted
-        // against the stand-in's own clock, so that a slow machine only makes fewer.
+        // One call per 100 ms gives 20 calls in this time; a busy loop makes a hundred in a few milliseconds. A slow
+        // machine only makes fewer calls in the time measured here.
         let (start, mut calls) = (Instant::now(), 0);
         while start.elapsed() < Duration::from_secs(2) {
-            calls += usize::from(agent.requests.recv_timeout(Duration::from_millis(100)).is_ok());
+            calls += usize::from(discovery.requests.recv_timeout(Duration::from_millis(100)).is_ok());
         }
         assert!((2..=40).contains(&calls), "{calls} calls in two seconds");
     }
