--- a/limeway/tests/common/limiter.rs
+++ b/limeway/tests/common/limiter.rs
@@ -40,7 +40,7 @@
     pub memory_mb: u32,
     /// Zone names in the settings.
     pub zones: Vec<String>,
-    /// Time for which servers remember an idempotency key.
+    /// Time for which servers remember the idempotency key of a `book` request.
     pub key_window_us: u64,
 }
 
--- a/limeway/tests/crowds.rs
+++ b/limeway/tests/crowds.rs
@@ -85,13 +85,13 @@
     let mut busy = limiter.client();
     busy.write(&request("look", "busy", "team", 25_000));
     server.requests.recv_timeout(TIMEOUT).expect("an attempt");
-    let mut asked: Vec<Client> = (0..10).map(|_| limiter.client()).collect();
-    for (n, client) in asked.iter_mut().enumerate() {
+    let mut used: Vec<Client> = (0..10).map(|_| limiter.client()).collect();
+    for (n, client) in used.iter_mut().enumerate() {
         assert_eq!(client.exchange(&request("look", &format!("asked-{n}"), "team", 9000)).status(), 200);
     }
     // A connection that has carried a request is not evicted for 2 s; this sleep orders no events.
     std::thread::sleep(Duration::from_millis(2_200));
-    let mut streams: Vec<TcpStream> = asked.into_iter().map(|c| c.stream).collect();
+    let mut streams: Vec<TcpStream> = used.into_iter().map(|c| c.stream).collect();
     // Connections that have carried no request may be evicted, too, once there are too many.
     streams.extend(open_idle_connections(&limiter, 90));
     assert!(limiter.passes_health_check(), "the idle connections have been accepted");
--- a/limeway/tests/departures.rs
+++ b/limeway/tests/departures.rs
@@ -69,7 +69,7 @@
             let mut client = limiter.client();
             let ids: &[&str] = if several { &["left", "second", "third"] } else { &["left"] };
             client.write(&ids.iter().map(|id| request("look", id, "team", 20_000)).collect::<String>());
-            answered.recv_timeout(TIMEOUT).expect("a call to the counter");
+            answered.recv_timeout(TIMEOUT).expect("a counter call");
             wait_two_loop_iterations(&limiter);
             disconnect(&client, how);
             drop(client);
@@ -93,7 +93,7 @@
 fn a_half_closed_client_gets_a_final_response() {
     let unresponsive = || stand_in(|_, _, _| std::thread::park());
     for (waits_for, status) in [("counter", 429), ("server", 502), ("limiter", 503)] {
-        let (server, _go) = gated_server();
+        let (server, _release) = gated_server();
         let counter = if waits_for == "counter" { unresponsive() } else { counter_stand_in() };
         let limiter = LimiterSetup::new(&[&server], &counter).start();
         if waits_for == "limiter" {
@@ -137,7 +137,7 @@
             counter.requests.recv_timeout(TIMEOUT).expect("a counter call");
             limiter.pause();
             release.send(()).expect("stand-in is running");
-            answered.recv_timeout(TIMEOUT).expect("the counter's answer");
+            answered.recv_timeout(TIMEOUT).expect("the counter's response");
             disconnect(&client, how);
             drop(client);
             // An attempt may still begin up to 0.1 s after its client has disconnected; this sleep orders no events.
--- a/limeway/tests/requests.rs
+++ b/limeway/tests/requests.rs
@@ -182,6 +182,7 @@
         counter_stand_in(),
     );
     for number in 0..bad_responses.len() {
+        // Listed as two servers, so that a retry at the other one would be possible.
         let limiter = LimiterSetup::new(&[&server, &server], &counter).start();
         let response = limiter.client().exchange(&request("once", &number.to_string(), "team", 9000));
         assert_eq!(response.status(), 502, "response {number}");
--- a/limeway/tests/service.rs
+++ b/limeway/tests/service.rs
@@ -19,6 +19,7 @@
     let (server_0, server_1, counter) = (stand_in(serve_hi), stand_in(serve_hi), counter_stand_in());
     let rows =
         [server_row("s-0", server_0.address, "SERVING"), server_row("s-1", server_1.address, "SERVING")];
+    // A health value that the limiter does not know counts as DRAINING.
     for health in ["DRAINING", "DELETED", "PONDERING"] {
         let (discovery, updates) = discovery_stand_in(server_list(1, true, &rows));
         let mut setup = LimiterSetup::new(&[&server_0, &server_1], &counter);
@@ -361,8 +362,8 @@
     }
 }
 
-/// Guards against clients that connect and send nothing: their connections are closed within 3 s (the test allows 9
-/// s, as CI may be slow), and other clients are served meanwhile.
+/// Guards against clients that connect and send nothing, or never finish a request: each gets an error response or is
+/// closed within 3 s (the tests allow more, as CI may be slow), and other clients are served meanwhile.
 #[test]
 fn silent_connections_are_closed_and_other_clients_served() {
     let (server, counter) = (stand_in(serve_hi), counter_stand_in());
