--- a/limeway/tests/readiness.rs
+++ b/limeway/tests/readiness.rs
@@ -66,7 +66,7 @@
 /// Guards against a limiter that attracts clients although it has no server to forward their requests to, and against
 /// one that stays unready once discovery has recovered.
 #[test]
-fn without_known_servers_a_limiter_is_not_ready_until_discovery_lists_server() {
+fn without_known_servers_a_limiter_is_not_ready_until_discovery_lists_one() {
     let no_servers: [fn() -> KnownServers; 3] = [
         || KnownServers::Absent,
         || KnownServers::Rows(Vec::new()),
