--- a/src/rules.rs
+++ b/src/rules.rs
@@ -7,6 +7,7 @@
 mod ejection;
 mod escrow;
 mod lease_owners;
+mod leasing;
 mod membership;
 mod retries;
 mod selection;
