--- a/src/interface.rs
+++ b/src/interface.rs
@@ -345,7 +345,7 @@
     Refuse {
         /// The request.
         id: RequestId,
-        /// Time after which to retry; 0 for no advice.
+        /// Time after which to retry; 0 if the client is given none.
         retry_after: Micros,
     },
     /// Final answer: failed; the request may have been executed.
--- a/src/reports.rs
+++ b/src/reports.rs
@@ -1,5 +1,5 @@
-//! Estimates of the servers' load from their load reports. One gateway of many gets these reports rarely,
-//! late and with noise. Estimates a server's backlog and its slowness relative to the other servers.
+//! Estimates each server's backlog, and its slowness relative to the other servers, from the load reports.
+//! One gateway of many gets these reports rarely, late and with noise.
 
 use crate::interface::{LoadReport, Micros, SECONDS_PER_MICRO};
 
@@ -41,13 +41,13 @@
 
 /// Means over the reports of all servers.
 #[derive(Default)]
-pub(crate) struct FleetLoad {
+pub(crate) struct MeanLoad {
     util: f64,
     qps: f64,
     reported_at: Option<Micros>,
 }
 
-impl FleetLoad {
+impl MeanLoad {
     /// Whether servers send load reports at all.
     pub fn has_reports(&self) -> bool {
         self.reported_at.is_some()
@@ -82,11 +82,11 @@
     }
 
     /// How many times longer a request occupies this server than a server on average.
-    fn slowness(&self, fleet: &FleetLoad) -> f64 {
-        let prior_qps = PRIOR_WEIGHT * fleet.qps.max(MIN_QPS);
+    fn slowness(&self, mean: &MeanLoad) -> f64 {
+        let prior_qps = PRIOR_WEIGHT * mean.qps.max(MIN_QPS);
         let seconds_per_request =
-            (self.util + prior_qps * fleet.seconds_per_request()) / (self.qps + prior_qps);
-        let slowness = (seconds_per_request / fleet.seconds_per_request()).clamp(MIN_SLOWNESS, MAX_SLOWNESS);
+            (self.util + prior_qps * mean.seconds_per_request()) / (self.qps + prior_qps);
+        let slowness = (seconds_per_request / mean.seconds_per_request()).clamp(MIN_SLOWNESS, MAX_SLOWNESS);
         if slowness < SIGNIFICANT_SLOWNESS {
             1.0
         } else {
@@ -96,10 +96,10 @@
 
     /// Estimated backlog of the server, in requests of an average server: that of its last report, which
     /// decays as the server works it off.
-    pub fn backlog(&self, fleet: &FleetLoad, now: Micros) -> f64 {
+    pub fn backlog(&self, mean: &MeanLoad, now: Micros) -> f64 {
         let Some(reported_at) = self.reported_at else { return 0.0 };
-        let backlog = self.inflight * self.slowness(fleet);
-        let decay = MIN_DECAY.max(backlog * fleet.seconds_per_request());
+        let backlog = self.inflight * self.slowness(mean);
+        let decay = MIN_DECAY.max(backlog * mean.seconds_per_request());
         backlog * (-seconds_between(reported_at, now) / decay).exp()
     }
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -14,7 +14,7 @@
 mod slow_start;
 
 use crate::interface::*;
-use crate::reports::FleetLoad;
+use crate::reports::MeanLoad;
 use crate::state::*;
 use concurrency::LATENCY_TARGET;
 use counter_pace::{INITIAL_TOTAL_RATE, MIN_BURST_SECONDS};
@@ -73,7 +73,7 @@
     request_timers: BTreeSet<(Micros, RequestId)>,
     /// Mean latency, by class.
     mean_latency: Vec<f64>,
-    fleet_load: FleetLoad,
+    mean_load: MeanLoad,
     /// Limit of attempts in progress at all servers together.
     total_limit: f64,
     /// Mean latency over all servers, as a share of the objective.
@@ -121,7 +121,7 @@
             ready_requests: BTreeSet::new(),
             request_timers: BTreeSet::new(),
             mean_latency,
-            fleet_load: FleetLoad::default(),
+            mean_load: MeanLoad::default(),
             total_limit: f64::INFINITY,
             latency_share: LATENCY_TARGET,
             total_limit_lowered_at: 0,
@@ -180,8 +180,8 @@
         // Starts with a random customer, so that all have the same chance where the counter takes few calls.
         let first = self.next_random() as usize % self.waiting_customers.len().max(1);
         let customers: Vec<u64> = self.waiting_customers.iter().copied().collect();
-        for at in 0..customers.len() {
-            self.admit_waiting(customers[(first + at) % customers.len()], out);
+        for n in 0..customers.len() {
+            self.admit_waiting(customers[(first + n) % customers.len()], out);
         }
         self.forget_idle_customers();
     }
--- a/src/rules/concurrency.rs
+++ b/src/rules/concurrency.rs
@@ -5,11 +5,11 @@
 
 /// Weight of a new latency in a mean, which thus reflects about the last ten answers.
 const MEAN_WEIGHT: f64 = 0.1;
-/// Initial limit of attempts in progress at a server from all gateways together. It is low because an
-/// overloaded fleet recovers slowly.
+/// Initial limit of attempts in progress at a server from all gateways together. It is low because
+/// servers recover slowly from an overload.
 pub(super) const INITIAL_LIMIT: f64 = 8.0;
 /// Share of the initial limit below which a limit is never lowered: with so few attempts, slow answers are
-/// not caused by a queue of this fleet's requests.
+/// not caused by a queue of the gateways' requests.
 pub(super) const MIN_LIMIT_SHARE: f64 = 0.5;
 /// Share of the objective above which a server's mean latency lowers its limit: the highest latencies are
 /// many times the mean.
--- a/src/rules/counter_pace.rs
+++ b/src/rules/counter_pace.rs
@@ -8,9 +8,10 @@
 /// that the counter is back, and too low to overload a counter that takes less than one call for every three
 /// requests.
 const MIN_TOTAL_RATE: f64 = 24.0;
-/// Calls are scarce when the call rate is below this share of the initial rate and few are saved up.
+/// Calls are scarce if the call rate is below this share of the initial rate, and fewer calls are saved up
+/// than the share [`SCARCE_SAVED_CALLS`] of those that the call rate yields in [`MIN_BURST_SECONDS`].
 const SCARCE_RATE: f64 = 0.5;
-/// Share of the calls that can be saved up below which few are saved up.
+/// See [`SCARCE_RATE`].
 const SCARCE_SAVED_CALLS: f64 = 0.5;
 /// Factor on the call rate after a lost call.
 const LOSS_FACTOR: f64 = 0.7;
@@ -25,9 +26,11 @@
 /// its share of the initial rate covers, and admits on credit what it cannot lease, which the other gateways
 /// do not see.
 const INITIAL_RATE_INCREASE: f64 = 1.0;
-/// Share of the way back to the call rate before a loss by which the rate recovers with each quick answer.
+/// Share of the difference to [`Counter::rate_after_loss`] by which the call rate recovers with each quick
+/// answer.
 const RECOVERY: f64 = 0.25;
-/// Seconds over which unused calls can be saved up, at least, because requests come in bursts.
+/// Seconds over which unused calls can be saved up, because requests come in bursts. At a low call rate the
+/// time is longer, so that two calls can always be saved up.
 pub(super) const MIN_BURST_SECONDS: f64 = 0.25;
 
 impl Counter {
--- a/src/rules/ejection.rs
+++ b/src/rules/ejection.rs
@@ -3,9 +3,9 @@
 use super::concurrency::{LATENCY_TARGET, LOWERING_INTERVAL, MAX_LOWERING_FACTOR};
 use super::*;
 
-/// Mean latencies without an answer after which a server counts as silent, with many attempts in progress.
+/// Time without an answer, in mean latencies, after which a server with many attempts in progress is silent.
 const SILENCE_BASE: f64 = 2.0;
-/// Mean latencies that are added to this after division by the number of attempts in progress: the more
+/// Added to it, also in mean latencies, after division by the number of attempts in progress: the more
 /// attempts, the sooner an answer is due.
 const SILENCE_EXTRA: f64 = 6.0;
 /// Duration of the first ejection of a server, in microseconds; it doubles with each further one
@@ -21,7 +21,7 @@
     /// server or a broken link before any time-out. Servers are ejected only while others answer: if all are
     /// slow at once, none of them is an outlier.
     pub(super) fn check_silent_servers(&mut self) {
-        self.forget_idle_servers();
+        self.retain_busy_servers();
         let (now, classes) = (self.now, self.mean_latency.len().max(1) as f64);
         let mean_latency = self.mean_latency.iter().sum::<f64>() / classes;
         let is_silent = |s: &Server| {
@@ -33,11 +33,11 @@
         };
         let mean_slo = self.settings.classes.iter().map(|c| c.slo as f64).sum::<f64>() / classes;
         let answers = |s: &Server| s.health == Health::Up && now < s.answered_at + mean_latency as u64;
-        let any_silent = self.busy_servers.iter().filter_map(|at| self.servers[*at].as_ref()).any(is_silent);
+        let any_silent = self.busy_servers.iter().filter_map(|id| self.servers[*id].as_ref()).any(is_silent);
         let others_answer = any_silent && self.servers.iter().flatten().any(answers);
         let mut affected = Vec::new();
-        for at in &self.busy_servers {
-            let Some(server) = self.servers[*at].as_mut() else { continue };
+        for id in &self.busy_servers {
+            let Some(server) = self.servers[*id].as_mut() else { continue };
             if others_answer && !matches!(server.health, Health::Ejected(_)) && is_silent(server) {
                 server.eject(now);
                 affected.extend(server.in_progress.keys().map(|k| k.0));
@@ -55,10 +55,10 @@
 
     /// Drops servers without attempts in progress from the busy ones, so that the cost of a sweep does not
     /// grow with the number of servers.
-    fn forget_idle_servers(&mut self) {
+    fn retain_busy_servers(&mut self) {
         let servers = &self.servers;
-        let is_busy = |at: &ServerId| {
-            servers.get(*at).and_then(Option::as_ref).is_some_and(|s| !s.in_progress.is_empty())
+        let is_busy = |id: &ServerId| {
+            servers.get(*id).and_then(Option::as_ref).is_some_and(|s| !s.in_progress.is_empty())
         };
         self.busy_servers.retain(is_busy);
     }
--- a/src/rules/lease_owners.rs
+++ b/src/rules/lease_owners.rs
@@ -26,7 +26,8 @@
         out.push(Action::SendToPeer { peer, data: message.encode() });
     }
 
-    /// Finds lease owners whose answers are overdue.
+    /// Stops waiting for answers that are overdue. Lease owners that leave several messages in a row
+    /// unanswered are not asked for a while.
     pub(super) fn check_lease_owners(&mut self) {
         while let Some(&(due, key)) = self.owner_answers_due.first().filter(|a| a.0 <= self.now) {
             self.owner_answers_due.remove(&(due, key));
--- a/src/rules/membership.rs
+++ b/src/rules/membership.rs
@@ -12,8 +12,8 @@
 /// backoff, and 1.5 s for the answer to the next call. This requirement takes precedence over limiting the
 /// calls of all gateways together.
 const WATCH_BACKOFF_MAX: Micros = 2_000_000;
-/// Mean delay before a call to discovery, in microseconds for each gateway, because all gateways may start or
-/// be turned away at once.
+/// Mean delay before a call to discovery, in microseconds per gateway in service: all gateways may start, or
+/// have their calls rejected, at the same time.
 const WATCH_DELAY_PER_GATEWAY: Micros = 20_000;
 
 impl Gateway {
--- a/src/rules/retries.rs
+++ b/src/rules/retries.rs
@@ -7,7 +7,7 @@
 /// Upper bound on the retry budget.
 pub(super) const MAX_SAVED_RETRIES: f64 = 10.0;
 /// Longest stall of the process between a decision and the write that carries it out, in microseconds, as
-/// specified for the fleet.
+/// specified for limiters.
 const MAX_WRITE_DELAY: Micros = 150_000;
 /// Retry-after time for a request that found no server, as a share of its objective.
 const RETRY_AFTER_SHARE: f64 = 0.1;
@@ -19,11 +19,11 @@
     pub(super) fn on_outcome(&mut self, outcome: &Outcome, out: &mut Vec<Action>) {
         let Outcome { id, attempt: index, server: server_id, status, latency, request_done, load } = *outcome;
         let class = self.requests.get(&id).map(|r| r.class);
-        let (now, total_in_progress) = (self.now, self.total_load().1);
+        let (now, total_in_progress) = (self.now, self.sum_of_limits_and_attempts().1);
         let random = self.next_random();
         if let Some(server) = self.servers.get_mut(server_id).and_then(Option::as_mut) {
             let was_in_progress = server.in_progress.remove(&(id, index)).is_some();
-            self.fleet_load.record(&mut server.load, &load, now);
+            self.mean_load.record(&mut server.load, &load, now);
             server.record_outcome(status, now, random);
             let latency_counts = was_in_progress && self.resumed_at != now;
             if let (Status::Ok, true, Some(class)) = (status, latency_counts, class) {
--- a/src/rules/selection.rs
+++ b/src/rules/selection.rs
@@ -12,7 +12,7 @@
 
 impl Gateway {
     /// The sum of the limits of all usable servers, and of the attempts in progress there.
-    pub(super) fn total_load(&self) -> (f64, f64) {
+    pub(super) fn sum_of_limits_and_attempts(&self) -> (f64, f64) {
         let usable = self.servers.iter().flatten().filter(|s| s.ready && s.health == Health::Up);
         usable.fold((0.0, 0.0), |sum, s| (sum.0 + s.limit, sum.1 + s.in_progress.len() as f64))
     }
@@ -23,9 +23,9 @@
         // More may be admitted than servers can take. Their capacity is known from load reports, or else
         // estimated from the rate of answers. That estimate has a lower bound relative to the admitted rate:
         // where all servers are cold, few requests are sent and so few are answered.
-        if self.fleet_load.has_reports() {
+        if self.mean_load.has_reports() {
             let gateways = f64::from(self.settings.gateways.max(1));
-            rate = rate.min(1.0 / self.fleet_load.seconds_per_request() / gateways);
+            rate = rate.min(1.0 / self.mean_load.seconds_per_request() / gateways);
         } else if self.answer_rate.last > 0.0 {
             let answered = self.answer_rate.at(self.now) / ready_servers.max(1) as f64;
             rate = rate.min(answered.max(rate * MIN_CAPACITY_SHARE));
@@ -35,15 +35,12 @@
 
     /// Whether as many attempts are in progress at all servers together as the limits allow.
     fn is_total_limit_reached(&self) -> bool {
-        let (sum_of_limits, in_progress) = self.total_load();
-        // Load reports make up for the sum of the servers' limits, but not for the limit over all servers: a
+        let (sum_of_limits, in_progress) = self.sum_of_limits_and_attempts();
+        // With load reports, the sum of the servers' limits is not needed. The limit over all servers is: a
         // server's report is seconds old by the time of the next request there, while the answers of all
         // servers together show an overload at once.
-        let limit = if self.fleet_load.has_reports() {
-            self.total_limit
-        } else {
-            sum_of_limits.min(self.total_limit)
-        };
+        let limit =
+            if self.mean_load.has_reports() { self.total_limit } else { sum_of_limits.min(self.total_limit) };
         // Many gateways may share few servers, so limits may be below one attempt. One is always allowed.
         in_progress >= limit.max(1.0)
     }
@@ -76,7 +73,7 @@
             }
             server.refill_slow_start(&self.settings.server_rules, now, warm_rate);
             let in_progress = server.in_progress.len() as f64;
-            let overloaded = server.load.backlog(&self.fleet_load, now) > MAX_BACKLOG;
+            let overloaded = server.load.backlog(&self.mean_load, now) > MAX_BACKLOG;
             let cost = match server.health {
                 // One repeatable request at a time tests an ejected server.
                 Health::Ejected(until) if may_test && now >= until => -1.0,
--- a/src/state.rs
+++ b/src/state.rs
@@ -135,9 +135,9 @@
     }
 }
 
-/// A client's request that waits for units, or the request for units of another gateway.
+/// A client's request that waits for units, or another gateway's request for units.
 pub(crate) struct UnitRequest {
-    /// The client's request; 0 for that of a gateway.
+    /// The client's request; 0 if a gateway asks.
     pub id: RequestId,
     /// The gateway that asks, if any.
     pub peer: Option<u32>,
@@ -186,7 +186,7 @@
 
 pub(crate) struct Attempt {
     pub server: ServerId,
-    /// Zone and cell of the server, which may be forgotten by the time they are needed.
+    /// Zone and cell of the server, kept here because the server may be forgotten before the request ends.
     pub location: (usize, u64),
     pub sent_at: Micros,
     pub state: AttemptState,
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -1,11 +1,11 @@
-//! When the gateway asks for discovery where discovery does not push changes: many gateways share one discovery
+//! When the gateway calls discovery where discovery does not push changes: many gateways share one discovery
 //! service that takes few calls.
 
 mod common;
 use common::*;
 use pondgw::*;
 
-/// The times, from the start on, at which a gateway asks for discovery if every call fails at once.
+/// The times, counted from the start, at which a gateway calls discovery if every call fails at once.
 fn watch_times(gateways: u32, seed: u64, duration: Micros) -> Vec<Micros> {
     let mut host = Host::with_seed(Settings { watch_discovery: true, gateways, ..settings() }, 3, seed);
     let (start, mut seen, mut times) = (host.now, 0, Vec::new());
@@ -86,5 +86,5 @@
     host.deliver_list(ListKind::Failed, Vec::new());
     let before = host.actions.len();
     host.advance(1_200 * MS);
-    assert!(host.actions[before..].contains(&Action::Watch), "not asked again within the shortest wait");
+    assert!(host.actions[before..].contains(&Action::Watch), "not asked again within the shortest backoff");
 }
--- a/tests/ceiling.rs
+++ b/tests/ceiling.rs
@@ -1,4 +1,4 @@
-//! The hard ceiling where all gateways share one counter: leased units are not held to this gateway's even split of the
+//! The ceiling where all gateways share one counter: leased units are not limited to this gateway's even share of the
 //! ceiling, and the gateways together still stay under it.
 
 mod common;
@@ -6,7 +6,7 @@
 use pondgw::*;
 use std::collections::BTreeMap;
 
-/// Gateways that share one counter: its totals are lent to a host while that host runs.
+/// Gateways that share one counter: its totals are swapped into a host while that host runs.
 struct Fleet {
     hosts: Vec<Host>,
     counter_totals: BTreeMap<u64, f64>,
@@ -65,7 +65,7 @@
         }
     }
     let sent = fleet.hosts[0].sent_attempts.len();
-    // The customer's quota of four a second for 20 s, and 20 requests of the other customer. An even split of the
+    // The customer's quota of four a second for 20 s, and 20 requests of the other customer. An even share of the
     // ceiling would be one a second.
     assert!(sent >= 90, "{sent} of 100 requests were sent by the busy gateway");
 }
@@ -91,7 +91,7 @@
 }
 
 /// Guards against bursts above the ceiling: requests that were admitted in earlier windows and found no server must
-/// not be sent in addition to what the present window allows.
+/// not be sent in addition to what the current window allows.
 #[test]
 fn admitted_requests_that_wait_for_a_server_count_against_the_window_they_are_sent_in() {
     let mut set = settings();
--- a/tests/combinations.rs
+++ b/tests/combinations.rs
@@ -29,7 +29,7 @@
 #[test]
 fn with_a_stale_list_a_hung_server_and_no_counter_at_start_no_rule_is_broken() {
     let mut host = Host::new(settings(), 4);
-    // Server 0 hangs; server 3 of the cached list has left.
+    // Server 0 hangs; server 3 of the cached list is no longer listed.
     host.responsive_servers = vec![1, 2];
     host.counter_mode = CounterMode::Unreachable;
     host.deliver_list(ListKind::Full, vec![server_entry(0), server_entry(1), server_entry(2)]);
@@ -38,16 +38,16 @@
         host.advance(20 * MS);
     }
     host.advance(4 * S);
-    assert!(host.sent_attempts.iter().all(|s| s.server != 3), "an attempt went to the server that has left");
+    assert!(host.sent_attempts.iter().all(|s| s.server != 3), "an attempt went to the unlisted server");
     let late = host.sent_attempts.iter().filter(|s| s.server == 0 && s.at > 103 * S).count();
     assert!(late <= 6, "{late} attempts went to the hung server in the second half");
-    let unsafe_attempts =
+    let non_idempotent_attempts =
         host.attempt_counts.iter().filter(|(id, _)| *id % 3 == NON_IDEMPOTENT as u64).map(|(_, n)| *n).max();
-    assert_eq!(unsafe_attempts, Some(1), "an unsafe request was repeated");
+    assert_eq!(non_idempotent_attempts, Some(1), "a non-idempotent request was repeated");
 }
 
 #[test]
-fn cold_servers_that_return_under_overload_get_no_more_than_their_budget() {
+fn cold_servers_that_return_under_overload_get_no_more_than_slow_start_allows() {
     let mut host = Host::new(settings(), 4);
     host.responsive_servers = (0..4).collect();
     for id in 0..500 {
@@ -74,7 +74,7 @@
 /// The gateway gets no processor time for 1.5 s, several times, while a customer exceeds its quota: each request still
 /// ends exactly once, and the quota holds.
 #[test]
-fn pauses_of_the_gateway_during_a_flood_lose_no_request_and_keep_the_quota() {
+fn stalls_of_the_gateway_during_a_flood_lose_no_request_and_keep_the_quota() {
     let mut host = Host::new(settings(), 4);
     host.responsive_servers = (0..4).collect();
     let start = host.now;
@@ -105,16 +105,16 @@
 #[test]
 fn hung_servers_get_few_requests_while_all_others_are_slow() {
     let mut host = Host::new(Settings { gateways: 1, ..settings() }, 6);
-    let mut outstanding: Vec<SentAttempt> = Vec::new();
+    let mut in_progress: Vec<SentAttempt> = Vec::new();
     let (mut seen, mut answered) = (0, 0);
     for id in 0..1_000 {
         host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(20 * MS);
-        outstanding.extend(host.sent_attempts[seen..].iter().filter(|s| s.server >= 2));
+        in_progress.extend(host.sent_attempts[seen..].iter().filter(|s| s.server >= 2));
         seen = host.sent_attempts.len();
         // Servers 0 and 1 accept requests and never answer; the other four answer after half of the objective.
-        while outstanding.first().is_some_and(|sent| sent.at + 500 * MS <= host.now) {
-            host.serve(outstanding.remove(0), 500 * MS, LoadReport::default());
+        while in_progress.first().is_some_and(|sent| sent.at + 500 * MS <= host.now) {
+            host.serve(in_progress.remove(0), 500 * MS, LoadReport::default());
             answered += 1;
         }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -17,9 +17,9 @@
 // Indices of the plans in `settings`.
 /// Four units a second, with bursts of eight.
 pub const RATE_LIMITED: usize = 0;
-/// The same with a hard ceiling of twice the rate and burst.
+/// The same with a ceiling of twice the rate and burst.
 pub const WITH_CEILING: usize = 1;
-/// Two requests open at once, no limit on units.
+/// Two requests in progress at once, no limit on units.
 pub const CONCURRENCY_LIMITED: usize = 2;
 pub const UNLIMITED: usize = 3;
 
@@ -103,7 +103,7 @@
 pub struct SentAttempt {
     pub at: Micros,
     pub id: RequestId,
-    /// Number of the attempt within its request, from 0.
+    /// Index of the attempt, from 0.
     pub attempt: u32,
     pub server: ServerId,
 }
--- a/tests/escrow.rs
+++ b/tests/escrow.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_customer_has_one_lease_call_in_flight() {
+fn a_customer_has_one_lease_call_in_progress() {
     let mut host = Host::new(settings(), 4);
     for id in 0..4 {
         host.request(id, IDEMPOTENT, RATE_LIMITED, 4 * S);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn while_the_counter_is_silent_the_even_split_is_spent_and_the_rest_is_refused() {
+fn while_the_counter_is_silent_the_even_share_is_spent_and_the_rest_is_refused() {
     let mut host = Host::new(settings(), 4);
     host.counter_mode = CounterMode::TimesOut;
     for id in 0..10 {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_long_outage_of_the_counter_is_bridged_with_the_even_split() {
+fn a_long_outage_of_the_counter_is_bridged_with_the_even_share() {
     let mut host = Host::new(settings(), 4);
     host.responsive_servers = (0..4).collect();
     host.request(1, IDEMPOTENT, RATE_LIMITED, 4 * S);
@@ -79,11 +79,11 @@
             host.request(1_000 + start + id, IDEMPOTENT, RATE_LIMITED, 4 * S);
             host.advance(50 * MS);
         }
-        // Ten seconds, over several windows, at two units a second, which is the even split between two gateways, and
-        // the split's burst of four.
+        // Ten seconds, over several windows, at two units a second, which is the even share between two gateways, and
+        // that share's burst of four.
         let sent = host.requests_sent() - before;
-        assert!(sent >= 8, "{sent} sent from the even split");
-        assert!(sent <= 25, "{sent} sent, more than the even split");
+        assert!(sent >= 8, "{sent} sent from the even share");
+        assert!(sent <= 25, "{sent} sent, more than the even share");
     }
 }
 
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn without_a_counter_no_calls_are_made_and_the_even_split_is_spent() {
+fn without_a_counter_no_calls_are_made_and_the_even_share_is_spent() {
     let mut host = Host::new(Settings { counter: None, ..settings() }, 4);
     for id in 0..100 {
         host.request(id, IDEMPOTENT, RATE_LIMITED, 4 * S);
@@ -155,7 +155,7 @@
     host.counter_mode = CounterMode::TimesOut;
     host.request(1, IDEMPOTENT, RATE_LIMITED, 4 * S);
     host.advance(60 * MS);
-    assert_eq!(host.servers_tried(1).len(), 1, "the even split is spent without the counter");
+    assert_eq!(host.servers_tried(1).len(), 1, "the even share is spent without the counter");
     host.counter_mode = CounterMode::Answers;
     for id in 2..12 {
         host.request(id, IDEMPOTENT, RATE_LIMITED, 4 * S);
@@ -163,9 +163,8 @@
     }
     let calls = &host.counter_calls;
     let name = calls.last().expect("a call").name;
-    let with_owed_units =
-        calls.iter().find(|c| c.name == name && c.amount > 1.0).expect("owed units are added");
-    assert!(with_owed_units.amount >= 2.0, "{calls:?}");
+    let with_credit = calls.iter().find(|c| c.name == name && c.amount > 1.0).expect("credit is added");
+    assert!(with_credit.amount >= 2.0, "{calls:?}");
     assert_eq!(host.counter_totals[&name], host.requests_sent() as f64, "the count holds all units spent");
 }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn hundreds_of_gateways_together_stay_within_the_budget_of_a_cold_server() {
+fn hundreds_of_gateways_together_do_not_overload_a_cold_server() {
     let (gateways, servers) = (300, 20);
     let set = Settings { gateways, ..settings() };
     let mut hosts: Vec<Host> = (0..gateways)
@@ -180,9 +180,9 @@
     assert!(later >= 10, "only {later} attempts to cold servers after their first second");
 }
 
-/// Guards against ejecting servers for a pause of the gateway's own process: the answers were there, but not read.
+/// Guards against ejecting servers for a stall of the gateway's own process: the answers were there, but not read.
 #[test]
-fn a_pause_of_the_gateway_is_not_taken_for_silence_of_servers() {
+fn a_stall_of_the_gateway_is_not_taken_for_silence_of_servers() {
     let mut host = Host::new(Settings { gateways: 1, ..settings() }, 4);
     host.responsive_servers = (0..4).collect();
     for id in 0..100 {
@@ -194,11 +194,11 @@
     for id in 100..108 {
         host.request(id, IDEMPOTENT, UNLIMITED, 6 * S);
     }
-    let outstanding: Vec<_> = host.sent_attempts[100..].to_vec();
+    let in_progress: Vec<_> = host.sent_attempts[100..].to_vec();
     host.now += 2 * S;
     host.timers.retain(|t| *t > host.now);
     host.deliver(Event::Timer { token: 0 });
-    for &SentAttempt { id, attempt, server, .. } in &outstanding {
+    for &SentAttempt { id, attempt, server, .. } in &in_progress {
         host.end_attempt(id, attempt, server, Status::Ok);
     }
     host.advance(50 * MS);
@@ -227,19 +227,19 @@
 #[test]
 fn slow_answers_limit_the_total_concurrency_of_one_of_many_gateways() {
     let mut host = Host::new(Settings { gateways: 300, ..settings() }, 100);
-    let (mut outstanding, mut seen, mut most) = (Vec::new(), 0, 0);
+    let (mut in_progress, mut seen, mut most) = (Vec::new(), 0, 0);
     for id in 0..3_000u64 {
         host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(10 * MS);
-        outstanding.extend_from_slice(&host.sent_attempts[seen..]);
+        in_progress.extend_from_slice(&host.sent_attempts[seen..]);
         seen = host.sent_attempts.len();
-        most = if id >= 1_000 { most.max(outstanding.len()) } else { 0 };
+        most = if id >= 1_000 { most.max(in_progress.len()) } else { 0 };
         // Every answer takes 0.9 of the objective, each from a different server than the last.
-        while outstanding.first().is_some_and(|sent: &SentAttempt| sent.at + 900 * MS <= host.now) {
-            host.serve(outstanding.remove(0), 900 * MS, LoadReport::default());
+        while in_progress.first().is_some_and(|sent: &SentAttempt| sent.at + 900 * MS <= host.now) {
+            host.serve(in_progress.remove(0), 900 * MS, LoadReport::default());
         }
     }
-    assert!(most <= 3, "{most} outstanding at one of 300 gateways; its share of the initial limits is 2.7");
+    assert!(most <= 3, "{most} in progress at one of 300 gateways; its share of the initial limits is 2.7");
 }
 
 #[test]
@@ -334,7 +334,7 @@
 }
 
 #[test]
-fn without_lease_owners_and_counter_customers_get_the_even_split_as_credit() {
+fn without_lease_owners_and_counter_customers_get_the_even_share_as_credit() {
     let mut hosts = fleet();
     for host in &mut hosts {
         host.counter_mode = CounterMode::TimesOut;
@@ -349,7 +349,7 @@
 }
 
 /// Guards against state that grows with every new server, and against a new server that inherits the state of a removed
-/// one with the same id: a removed server is forgotten once it has no attempts outstanding.
+/// one with the same id: a removed server is forgotten once it has no attempts in progress.
 #[test]
 fn a_reused_server_id_is_a_new_server() {
     let mut host = Host::new(settings(), 2);
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -12,20 +12,20 @@
 }
 
 #[test]
-fn every_request_is_answered_by_its_deadline_while_attempts_are_outstanding() {
+fn every_request_is_answered_by_its_deadline_while_attempts_are_in_progress() {
     let mut host = Host::new(settings(), 3);
     for class in [IDEMPOTENT, KEYED, NON_IDEMPOTENT, KEYED_PER_ZONE] {
         send_unlimited(&mut host, class as u64, class);
     }
     host.advance(4 * S);
     for id in 0..4 {
-        assert!(host.was_failed(id), "request {id} may have run, so it must fail");
+        assert!(host.was_failed(id), "request {id} may have been executed, so it must fail");
         assert_eq!(host.final_answers.iter().filter(|a| a.0 == id).count(), 1);
     }
 }
 
 #[test]
-fn non_idempotent_requests_that_may_have_run_are_neither_repeated_nor_refused() {
+fn non_idempotent_requests_that_may_have_been_executed_are_neither_repeated_nor_refused() {
     for status in [Status::Error, Status::Timeout, Status::Reset, Status::Cancelled] {
         let mut host = Host::new(settings(), 3);
         let server = send_unlimited(&mut host, 1, NON_IDEMPOTENT);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn non_idempotent_requests_that_never_ran_are_sent_to_another_server() {
+fn non_idempotent_requests_that_were_not_executed_are_sent_to_another_server() {
     for status in [Status::Declined, Status::ConnectFailed] {
         let mut host = Host::new(settings(), 3);
         let server = send_unlimited(&mut host, 1, NON_IDEMPOTENT);
@@ -76,7 +76,7 @@
         host.end_attempt(1, attempt, server, Status::Declined);
     }
     assert_eq!(host.servers_tried(1).len(), 3);
-    assert!(host.was_refused(1), "none of the attempts ran");
+    assert!(host.was_refused(1), "none of the attempts was executed");
 }
 
 #[test]
@@ -97,7 +97,7 @@
         }
     }
     assert!(host.actions.contains(&Action::Cancel { id: 1, attempt: 0 }), "the silence was not noticed");
-    assert_eq!(host.servers_tried(1).len(), 1, "no second attempt while the first is outstanding");
+    assert_eq!(host.servers_tried(1).len(), 1, "no second attempt while the first is in progress");
     host.end_attempt(1, 0, hung, Status::Cancelled);
     assert_eq!(host.servers_tried(1).len(), 2);
 }
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_restarted_server_gets_no_more_than_its_slow_start_budget() {
+fn a_restarted_server_gets_no_more_than_slow_start_allows() {
     let mut host = Host::new(settings(), 2);
     host.responsive_servers = vec![0, 1];
     for id in 0..300 {
@@ -170,10 +170,10 @@
     assert!(since_start().count() >= 1, "the restarted server is not tried at all");
 }
 
-/// Guards against refusals without retry advice where the settings allow advice: without it, nothing keeps the client
-/// from retrying at once.
+/// Guards against refusals without a retry-after time where the settings allow one: without it, nothing keeps the
+/// client from retrying at once.
 #[test]
-fn every_refusal_carries_retry_advice_where_that_is_allowed() {
+fn every_refusal_has_a_retry_after_time_where_that_is_allowed() {
     for allowed in [true, false] {
         let mut set = settings();
         set.permissions.send_retry_after = allowed;
@@ -347,45 +347,45 @@
         host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
     }
     let sent = host.sent_attempts.len();
-    assert!(sent <= 12, "{sent} outstanding at one of 24 gateways");
+    assert!(sent <= 12, "{sent} in progress at one of 24 gateways");
 }
 
 #[test]
 fn servers_that_are_slow_at_any_load_are_neither_starved_nor_given_more() {
     let mut host = Host::new(settings(), 4);
-    let mut outstanding: Vec<SentAttempt> = Vec::new();
+    let mut in_progress: Vec<SentAttempt> = Vec::new();
     let (mut seen, mut most, mut answered) = (0, 0, 0);
     for id in 0..2_000 {
         host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(10 * MS);
-        outstanding.extend_from_slice(&host.sent_attempts[seen..]);
+        in_progress.extend_from_slice(&host.sent_attempts[seen..]);
         seen = host.sent_attempts.len();
-        most = most.max(outstanding.len());
-        // Every answer takes 0.6 of the objective, however many attempts are outstanding.
-        while outstanding.first().is_some_and(|sent| sent.at + 600 * MS <= host.now) {
-            host.serve(outstanding.remove(0), 600 * MS, LoadReport::default());
+        most = most.max(in_progress.len());
+        // Every answer takes 0.6 of the objective, however many attempts are in progress.
+        while in_progress.first().is_some_and(|sent| sent.at + 600 * MS <= host.now) {
+            host.serve(in_progress.remove(0), 600 * MS, LoadReport::default());
             answered += 1;
         }
     }
-    assert!(most <= 20, "{most} outstanding at four servers from one of two gateways");
+    assert!(most <= 20, "{most} in progress at four servers from one of two gateways");
     assert!(answered >= 150, "{answered} answered in 20 s, although two for each server are always allowed");
 }
 
 #[test]
 fn concurrency_limits_do_not_grow_without_fast_answers() {
     let mut host = Host::new(Settings { gateways: 24, ..settings() }, 10);
-    let (mut outstanding, mut seen, mut most) = (Vec::new(), 0, 0);
+    let (mut in_progress, mut seen, mut most) = (Vec::new(), 0, 0);
     for id in 0..400 {
         host.request(id, IDEMPOTENT, UNLIMITED, 4 * S);
         host.advance(10 * MS);
-        outstanding.extend_from_slice(&host.sent_attempts[seen..]);
+        in_progress.extend_from_slice(&host.sent_attempts[seen..]);
         seen = host.sent_attempts.len();
-        most = most.max(outstanding.len());
-        while outstanding.first().is_some_and(|sent: &SentAttempt| sent.at + 800 * MS <= host.now) {
-            host.serve(outstanding.remove(0), 800 * MS, LoadReport::default());
+        most = most.max(in_progress.len());
+        while in_progress.first().is_some_and(|sent: &SentAttempt| sent.at + 800 * MS <= host.now) {
+            host.serve(in_progress.remove(0), 800 * MS, LoadReport::default());
         }
     }
-    assert!(most <= 4, "{most} outstanding at one of 24 gateways; its share of the initial limits is 3.3");
+    assert!(most <= 4, "{most} in progress at one of 24 gateways; its share of the initial limits is 3.3");
 }
 
 #[test]
@@ -439,13 +439,13 @@
             [first],
             "the other server is in a zone that does not know the key"
         );
-        assert!(host.was_failed(1), "the request may have run, so it must fail");
+        assert!(host.was_failed(1), "the request may have been executed, so it must fail");
     }
 }
 
 #[test]
 fn a_keyed_request_is_repeated_only_if_it_is_sure_to_be_written_within_the_dedup_window() {
-    // Keys are known for 4 s, a connection takes up to 1 s, and the process may be paused for 0.15 s before it writes.
+    // Keys are known for 4 s, a connection takes up to 1 s, and the process may stall for 0.15 s before it writes.
     for (after, repeated) in [(2_500 * MS, true), (2_900 * MS, false), (3_500 * MS, false)] {
         let mut set = settings();
         set.permissions.connect_timeout = S;
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -11,7 +11,7 @@
 enum Step {
     /// A request of this class and plan arrives.
     Request(usize, usize),
-    /// One of the outstanding attempts, by index, ends with this status.
+    /// One of the attempts in progress, by index, ends with this status.
     EndAttempt(usize, Status),
     Advance(Micros),
     SetCounterMode(u8),
@@ -45,7 +45,7 @@
     set.permissions.parallel_attempts = parallel_attempts;
     let mut host = Host::new(set, 5);
     let mut ready: BTreeSet<ServerId> = (0..5).collect();
-    let mut outstanding: Vec<(RequestId, u32, ServerId)> = Vec::new();
+    let mut in_progress: Vec<(RequestId, u32, ServerId)> = Vec::new();
     let mut answered: BTreeSet<RequestId> = BTreeSet::new();
     let (mut seen, mut requested) = (0, Vec::new());
     for (n, step) in steps.iter().enumerate() {
@@ -54,8 +54,8 @@
                 requested.push(n as u64);
                 host.request(n as u64, *class, *plan, 3 * S);
             }
-            Step::EndAttempt(index, status) if !outstanding.is_empty() => {
-                let (id, attempt, server) = outstanding.remove(index % outstanding.len());
+            Step::EndAttempt(index, status) if !in_progress.is_empty() => {
+                let (id, attempt, server) = in_progress.remove(index % in_progress.len());
                 if answered.contains(&id) {
                     host.deliver(Event::Outcome(Outcome {
                         id,
@@ -97,11 +97,11 @@
             assert!(!answered.contains(&id), "sent after the final answer");
             if !parallel_attempts {
                 assert!(
-                    !outstanding.iter().any(|o| o.0 == id),
+                    !in_progress.iter().any(|o| o.0 == id),
                     "two attempts of one request at the same time"
                 );
             }
-            outstanding.push((id, attempt, server));
+            in_progress.push((id, attempt, server));
         }
         seen = host.sent_attempts.len();
         answered.extend(host.final_answers.iter().map(|a| a.0));
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -178,8 +178,8 @@
         })
         .collect();
     let mut counter_totals = BTreeMap::<u64, f64>::new();
-    // The open requests, each with the number of attempts sent for it.
-    let mut open = BTreeMap::<RequestId, (Try, u32)>::new();
+    // Requests that were not refused, each with the number of attempts sent for it.
+    let mut requests = BTreeMap::<RequestId, (Try, u32)>::new();
     let mut scheduled = BTreeMap::<Micros, Vec<(u32, Event)>>::new();
     let mut last_id = 0;
     let mut now = start;
@@ -202,7 +202,7 @@
                 gateways: gateways_of(request.customer),
                 first_gateway: first_gateway_of(request.customer),
             });
-            open.insert(last_id, (request, 0));
+            requests.insert(last_id, (request, 0));
             due.push((gateway, event));
         }
         for (gateway, event) in due {
@@ -225,7 +225,7 @@
                         scheduled.entry(now + latency).or_default().push((gateway, counted));
                     }
                     Action::Send { id, server, .. } => {
-                        let Some((request, attempts)) = open.get_mut(&id) else { continue };
+                        let Some((request, attempts)) = requests.get_mut(&id) else { continue };
                         if *attempts == 0 {
                             usage.send(request, now);
                         }
@@ -243,7 +243,7 @@
                         scheduled.entry(now + latency).or_default().push((gateway, Event::Outcome(outcome)));
                     }
                     Action::Refuse { id, .. } => {
-                        if let Some((request, _)) = open.remove(&id) {
+                        if let Some((request, _)) = requests.remove(&id) {
                             clients.refused(request, now);
                         }
                     }
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -35,7 +35,7 @@
     }
     host.advance(7 * S);
     host.request(9, IDEMPOTENT, UNLIMITED, 4 * S);
-    assert_eq!(host.servers_tried(9).len(), 1, "the reported backlog fades");
+    assert_eq!(host.servers_tried(9).len(), 1, "the reported backlog decays");
     serve_with_report(&mut host, 9, report(1.0, 8.0, 0.7));
     host.request(10, IDEMPOTENT, UNLIMITED, 4 * S);
     assert_eq!(host.servers_tried(10).len(), 1, "a later report replaces it");
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn cold_servers_get_the_share_that_their_budget_allows() {
+fn cold_servers_get_the_share_that_slow_start_allows() {
     // Half of the servers are new. Over all gateways, each of these should get at least 0.42 of what a warm one gets.
     let (mut to_warm, mut to_cold) = (0, 0);
     for seed in 0..60 {
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -64,7 +64,7 @@
 }
 
 /// An attempt that a simulated server is going to answer.
-struct Outstanding {
+struct AttemptInProgress {
     answered_at: Micros,
     gateway: usize,
     sent: SentAttempt,
@@ -119,7 +119,7 @@
     // For each server, when requests were sent to it, and when it has served all of them.
     let mut received: Vec<Vec<Micros>> = vec![Vec::new(); 2 * SERVERS];
     let mut free_at = [0; 2 * SERVERS];
-    let mut outstanding: Vec<Outstanding> = Vec::new();
+    let mut in_progress: Vec<AttemptInProgress> = Vec::new();
     while now < start + slow_start {
         now += STEP;
         let informed = now >= start + scenario.list_delay;
@@ -145,7 +145,7 @@
             if random.next() < scenario.restart_rate * STEP as f64 / S as f64 {
                 hosts_made += 1;
                 *host = new_host(hosts_made, now, list(informed.then_some(start)));
-                outstanding.retain(|o| o.gateway != n);
+                in_progress.retain(|o| o.gateway != n);
                 seen[n] = 0;
             }
             for &sent in &host.sent_attempts[seen[n]..] {
@@ -160,13 +160,13 @@
                     free_at[server] = free_at[server].max(at) + (S as f64 / speed) as Micros;
                     (Status::Ok, free_at[server] + 5 * MS)
                 };
-                outstanding.push(Outstanding { answered_at, gateway: n, sent, status });
+                in_progress.push(AttemptInProgress { answered_at, gateway: n, sent, status });
             }
             seen[n] = host.sent_attempts.len();
         }
-        let (due, rest) = outstanding.into_iter().partition(|o| o.answered_at <= now);
-        outstanding = rest;
-        for Outstanding { answered_at, gateway, sent, status } in due {
+        let (due, rest) = in_progress.into_iter().partition(|o| o.answered_at <= now);
+        in_progress = rest;
+        for AttemptInProgress { answered_at, gateway, sent, status } in due {
             let SentAttempt { at, id, attempt, server } = sent;
             let in_last_second = received[server].iter().rev().take_while(|at| **at + S > now).count() as f64;
             let work_left = free_at[server].saturating_sub(now) as f64 / S as f64;
