--- a/limeway/src/clients/client_connection.rs
+++ b/limeway/src/clients/client_connection.rs
@@ -37,7 +37,8 @@
 /// Upper bound on that pause.
 const MAX_INVALID_REQUEST_PAUSE: Duration = Duration::from_millis(200);
 /// A client that sends more than this many bytes beyond what the buffer holds before it has its response is treated as
-/// gone: one that waits for responses sends none, and reading on without end would keep the thread from others.
+/// gone: a client that waits for its response sends no more, and reading on without end would keep the thread from
+/// others.
 const MAX_DISCARDED: usize = 1024 * 1024;
 /// Largest buffer that an idle connection keeps, in bytes.
 const MAX_IDLE_BUFFER: usize = 4 * 1024;
@@ -58,7 +59,7 @@
     reused: bool,
     /// Accepted above the limit on connections: its request is answered 503.
     over_limit: bool,
-    /// If evicted: the registration of that, kept until the connection is closed.
+    /// If evicted: the slot by which it was evicted, kept so that the connection counts as evicted until it is closed.
     evicted: Option<EvictionSlot>,
     /// When bytes were last read.
     last_read: Instant,
@@ -116,7 +117,7 @@
                     let close = self.closes_after_response(core, table, last);
                     self.write_rejection(core, &rejection, close).await
                 }
-                Ok(ClientMessage::Health) => self.answer_health(core, table, last).await,
+                Ok(ClientMessage::Health) => self.write_health_response(core, table, last).await,
                 // Too many connections: rejected without the gateway.
                 Ok(ClientMessage::Request(..)) if self.over_limit => {
                     self.write_rejection(core, &Rejection::TOO_MANY_CONNECTIONS, true).await
@@ -136,7 +137,7 @@
         }
     }
 
-    async fn answer_health(&mut self, core: &Core, table: &ClientTable, last: bool) -> bool {
+    async fn write_health_response(&mut self, core: &Core, table: &ClientTable, last: bool) -> bool {
         let close = self.closes_after_response(core, table, last);
         if core.ready.get() && !core.draining.get() {
             self.write_response(200, b"", close, b"ready\n").await
@@ -286,8 +287,8 @@
         while self.buffer.len() < MAX_REQUEST && matches!(self.read_nonblocking(self.read_delay), Ok(1..)) {}
     }
 
-    /// Reads all input that has arrived, after a wait of at most `waited`. False if the client has left or has sent too
-    /// much ahead. Asks the kernel directly: the runtime's view of the socket may be one iteration of its event loop
+    /// Reads all input that has arrived; it has waited for at most `waited`. False if the client has left or has sent
+    /// too much ahead. Asks the kernel directly: the runtime's view of the socket may be one turn of its event loop
     /// behind, and the end of input of a client that wrote and left shows only after all that it wrote.
     fn drain_socket(&mut self, waited: Duration) -> bool {
         loop {
--- a/limeway/src/clients/client_table.rs
+++ b/limeway/src/clients/client_table.rs
@@ -109,7 +109,7 @@
 /// The open client connections.
 pub struct ClientTable {
     descriptors: Rc<DescriptorBudget>,
-    /// Connections that can be evicted, by phase; keys ascend with age, the oldest first.
+    /// Connections that can be evicted, by phase; of each phase, the one registered first has the smallest key.
     candidates: [RefCell<BTreeMap<u64, Candidate>>; PHASES],
     next_key: Cell<u64>,
     /// Number of connections that are evicted but still open.
--- a/limeway/src/clients/request.rs
+++ b/limeway/src/clients/request.rs
@@ -167,7 +167,8 @@
     text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
 }
 
-/// Parses Quota-Info: units, spread and the first gateway, each given once and within its bounds.
+/// Parses Quota-Info: the units, the number of gateways (`spread`) and the first of them, each given once and within
+/// its bounds.
 fn parse_quota_info(host_settings: &HostSettings, info: &str) -> Option<(f64, u32, u32)> {
     let (mut units, mut spread, mut first) = (None, None, None);
     for pair in info.split(',') {
--- a/limeway/src/config.rs
+++ b/limeway/src/config.rs
@@ -167,7 +167,7 @@
     }
 }
 
-/// Checks for settings that the adapter may omit but a limiter needs.
+/// Checks for settings that the simulator's adapter (`pondgw-simhost`) may omit but a limiter needs.
 fn validate(host_settings: &HostSettings) -> Result<(), ConfigError> {
     let settings = &host_settings.settings;
     let error = |key: &str, reason: &str| Err(ConfigError::new(key, reason));
--- a/limeway/src/core.rs
+++ b/limeway/src/core.rs
@@ -1,7 +1,7 @@
 //! Runs the process's one [`Gateway`]: delivers events to it, performs the actions that it returns, keeps its
 //! timers, and tracks open requests and their attempts.
 //!
-//! There is no policy here. What the gateway asks for is done, within the permissions of the settings.
+//! The gateway alone decides on policy; what it asks for is done, within the permissions of the settings.
 
 use crate::clock::Clock;
 use crate::config::{Config, ServiceAddresses};
@@ -25,7 +25,7 @@
 /// A request's attempts are stopped this long before its deadline. The gateway normally settles a request some 10 ms
 /// before its deadline, so this takes effect only if the gateway stays silent or the process was held up.
 const DEADLINE_MARGIN: Micros = 5_000;
-/// Time that the gateway then has for its final decision.
+/// Time that the gateway has for its final decision once the attempts are stopped.
 const FINAL_DECISION_TIME: Micros = 2_000;
 
 /// A request that arrives within this time after SIGTERM keeps its full deadline; a later one must be answered before
@@ -34,8 +34,8 @@
 /// SIGKILL comes no sooner after SIGTERM than `SHUTDOWN_FULL_DEADLINE` plus the longest deadline of any class, or plus
 /// this time if that is shorter.
 const SHUTDOWN_MAX_WAIT: Micros = 3_000_000;
-/// Such a late request must be finished this long before the earliest SIGKILL, so that the client can still read the
-/// response. It is also the least time that a late request gets.
+/// A request that arrives later than `SHUTDOWN_FULL_DEADLINE` must be finished this long before the earliest SIGKILL,
+/// so that the client can still read the response. It is also the least time that such a request gets.
 const SHUTDOWN_MARGIN: Micros = 100_000;
 
 /// Timers of finished requests are purged once there are more timers than this plus four for each open request.
@@ -56,7 +56,7 @@
 
 struct Attempt {
     server: ServerId,
-    sent: Micros,
+    started: Micros,
     /// Ends the attempt with a status; `None` once used, or if the attempt is not running.
     stop: Option<oneshot::Sender<Status>>,
     /// Whether the request may still be written to the server.
@@ -328,12 +328,12 @@
         };
         let number = open.attempts.len();
         let finished = open.responder.is_none() || now >= open.deadline;
-        let forbidden_copy = !allow.parallel_attempts && open.attempts.iter().any(|a| a.in_flight);
-        if finished || forbidden_copy || number >= allow.max_attempts as usize {
+        let forbidden_parallel = !allow.parallel_attempts && open.attempts.iter().any(|a| a.in_flight);
+        if finished || forbidden_parallel || number >= allow.max_attempts as usize {
             let request_done = open.responder.is_none();
             open.attempts.push(Attempt {
                 server,
-                sent: now,
+                started: now,
                 stop: None,
                 may_write: Rc::default(),
                 in_flight: false,
@@ -345,7 +345,7 @@
         let may_write = Rc::new(Cell::new(true));
         open.attempts.push(Attempt {
             server,
-            sent: now,
+            started: now,
             stop: Some(stop),
             may_write: may_write.clone(),
             in_flight: true,
@@ -358,7 +358,7 @@
         self.attempt_runner.start(AttemptSpec { id, number, server, request, deadline, may_write }, stopped);
     }
 
-    /// Submits a client's request to the gateway. Returns its id here and the channel that its response comes on, or
+    /// Submits a client's request to the gateway. Returns the id assigned to it and the channel for its response, or
     /// `None` if a request with the same client-supplied id is open, as their responses could not be told apart.
     pub fn submit(
         self: &Rc<Self>,
@@ -394,8 +394,8 @@
         Some((id, response))
     }
 
-    /// Gives up a request whose client has closed its sending side. Returns the response to write: a client that has
-    /// left cannot be told from one that still reads.
+    /// Gives up a request whose client has closed its sending side. Returns the response to write: it is unknown
+    /// whether the client has left or has closed only its sending side and still reads.
     pub fn client_left(self: &Rc<Self>, id: RequestId) -> ClientResponse {
         let mut state = self.state.borrow_mut();
         let never_sent = state.open.get(&id).is_some_and(|open| open.attempts.is_empty());
@@ -420,7 +420,7 @@
         let Some(attempt) = open.attempts.get_mut(number as usize) else { return };
         attempt.in_flight = false;
         attempt.stop = None;
-        let (server, latency) = (attempt.server, self.clock.now().saturating_sub(attempt.sent));
+        let (server, latency) = (attempt.server, self.clock.now().saturating_sub(attempt.started));
         log::debug!(
             "request {id}: attempt {number} at server {server} ended with {status:?} after {latency} us"
         );
--- a/limeway/src/counter.rs
+++ b/limeway/src/counter.rs
@@ -127,8 +127,8 @@
         }
         let Response { head, body, reusable, .. } = match call.conn.read_response().await {
             // The total may be incomplete, as the body has no length.
-            Ok(reply) if reply.close_delimited => return (Status::Error, 0.0),
-            Ok(reply) => reply,
+            Ok(response) if response.close_delimited => return (Status::Error, 0.0),
+            Ok(response) => response,
             Err(ExchangeError::Connection(_)) => return (Status::Reset, 0.0),
             // The amount was added, but the total cannot be read.
             Err(ExchangeError::InvalidResponse(_)) => return (Status::Error, 0.0),
--- a/limeway/src/discovery/catalog.rs
+++ b/limeway/src/discovery/catalog.rs
@@ -13,7 +13,7 @@
     /// Removed.
     #[serde(rename = "DELETED")]
     Deleted,
-    /// Finishing its outstanding requests; it gets no new ones. Unknown states are treated the same.
+    /// Finishing the requests that it has; it gets no new ones. Unknown states are treated the same.
     #[serde(rename = "DRAINING", other)]
     Draining,
 }
--- a/limeway/src/discovery/follower.rs
+++ b/limeway/src/discovery/follower.rs
@@ -2,8 +2,11 @@
 //!
 //! The protocol treats the limiter as informed of a change some time after discovery had it and could be reached,
 //! whatever became of earlier calls. So an overdue call is not waited for: another call starts on a connection of its
-//! own, and the first answer counts. Where discovery must be asked, the module decides when to start and when to retry
-//! after a failure; only a watch that is overdue is followed by another one at once.
+//! own, and the first response counts.
+//!
+//! The setting `discovery` has two modes. In ask mode, the gateway decides when the first call starts and when to retry
+//! after a failure; only a watch that is overdue is followed by another call at once. In push mode, this follower
+//! decides both.
 
 use crate::core::Core;
 use crate::discovery::catalog::ServerList;
@@ -20,18 +23,20 @@
 use tokio::time::{sleep_until, timeout, Instant};
 
 /// The protocol treats the limiter as informed of a change this long after discovery had it and could be reached
-/// (protocol page).
+/// (protocol specification).
 const INFORMED_AFTER: Duration = Duration::from_secs(6);
-/// Time after which an answer is overdue and another call starts: a quarter of `INFORMED_AFTER`. The hold time of a
-/// watch, the time until it is overdue, and the time for the answer to the next call then fit into `INFORMED_AFTER`.
+/// Time after which a response is overdue and another call starts: a quarter of `INFORMED_AFTER`. The hold time of a
+/// watch, the time until it is overdue, and the time for the response to the next call then fit into `INFORMED_AFTER`.
 const OVERDUE_AFTER: Duration = Duration::from_millis(1_500);
 /// Time for which discovery holds a watch while there are no changes, in milliseconds: half of `INFORMED_AFTER`, see
-/// `OVERDUE_AFTER`.
+/// `OVERDUE_AFTER`. A call with a shorter hold time is no watch.
 const HOLD_MS: u64 = 3_000;
-/// Hold time of the first watch, and of the first after a failure: its answer shows that discovery can be reached.
+/// Hold time of the first call for changes, and of the first after a failure: its response shows that discovery can be
+/// reached.
 const FIRST_HOLD_MS: u64 = 1;
-/// Where lists are pushed, a call that is not a watch is overdue after this fraction of the drain grace. The agent of
-/// discovery answers such a call at once, and the protocol treats the limiter as informed of whatever the agent has.
+/// In push mode, a call that is not a watch is overdue after the drain grace divided by this. The agent of discovery,
+/// which serves this mode, answers such a call at once, and the protocol treats the limiter as informed of whatever the
+/// agent has.
 const GRACE_DIVISOR: u32 = 2;
 /// Largest number of concurrent calls: as many as can become overdue one after the other within `INFORMED_AFTER`.
 const MAX_CALLS: usize = descriptors::MAX_DISCOVERY_CALLS;
@@ -39,13 +44,17 @@
 /// twice while the buffer grows, and then both as text and as rows. A row takes about 126 bytes, so 64 MB are enough
 /// for a list of 60,000 servers.
 const LIST_BYTES_PER_MB: f64 = 1024.0 * 1024.0 / 8.0;
-/// Backoff after a failed call where lists are pushed: the first, and the longest after doubling.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
-/// The longest backoff is at most this fraction of the drain grace.
+/// First backoff after a failed call in push mode; it doubles with each further failure.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// Upper bound on the backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+/// The backoff is also bounded by the drain grace divided by this, but never below `MIN_BACKOFF`.
 const BACKOFF_GRACE_DIVISOR: u32 = 4;
-/// Pause after a watch that was answered early, with changes and without. It is below the 200 ms within which the next
-/// watch must start, and keeps the limiter from a busy loop if discovery does not hold watches.
-const EARLY_PAUSE: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(100));
+/// Pause after a watch that was answered early with changes. Like `EARLY_UNCHANGED_PAUSE`, it is below the 200 ms
+/// within which the next watch must start, and keeps the limiter from a busy loop if discovery does not hold watches.
+const EARLY_CHANGES_PAUSE: Duration = Duration::from_millis(10);
+/// Pause after a watch that was answered early without changes.
+const EARLY_UNCHANGED_PAUSE: Duration = Duration::from_millis(100);
 
 /// Follows discovery, without end, and across changes of its address.
 pub async fn run(core: Rc<Core>) {
@@ -67,25 +76,25 @@
     Call(Instant),
     /// The newest call is overdue at this time.
     Overdue(Instant),
-    /// A call starts when the module asks for one.
+    /// A call starts when the gateway asks for one.
     OnRequest,
 }
 
 /// A list, and its connection if that can be reused.
-type Answer = (ServerList, Option<OutboundConnection>);
+type ListResponse = (ServerList, Option<OutboundConnection>);
 
 /// Follows discovery at one address.
 struct Follower<'a> {
     core: &'a Rc<Core>,
-    /// Discovery must be asked: the module decides when the first call starts, and when to retry after a failure.
-    /// Otherwise lists are pushed, and this follower decides.
-    must_ask: bool,
+    /// Ask mode: the gateway decides when the first call starts, and when to retry after a failure. Otherwise push
+    /// mode, in which this follower decides.
+    ask_mode: bool,
     /// Version of the list held. `None` if the whole list must be requested.
     seq: Option<u64>,
     /// Hold time of the next call, in milliseconds.
     hold_ms: u64,
     conn: Option<OutboundConnection>,
-    calls: JoinSet<io::Result<Answer>>,
+    calls: JoinSet<io::Result<ListResponse>>,
     /// The pending calls, oldest first.
     pending: VecDeque<AbortHandle>,
     /// When the newest call started.
@@ -96,23 +105,23 @@
 
 impl<'a> Follower<'a> {
     fn new(core: &'a Rc<Core>, moved: bool) -> Self {
-        let must_ask = core.config.host_settings.settings.watch_discovery;
-        // The module holds the list known at start, so the changes since then are enough, and cost discovery less than
-        // the whole list. The first call has almost no hold time, as the limiter is not ready before its answer.
+        let ask_mode = core.config.host_settings.settings.watch_discovery;
+        // The gateway holds the list known at start, so the changes since then are enough, and cost discovery less than
+        // the whole list. The first call has almost no hold time, as the limiter is not ready before its response.
         let known =
             core.config.known_servers.as_ref().filter(|list| !moved && list.whole && list.invalid_rows == 0);
         let now = Instant::now();
         Follower {
             core,
-            must_ask,
+            ask_mode,
             seq: known.map(|list| list.seq),
             hold_ms: FIRST_HOLD_MS,
             conn: None,
             calls: JoinSet::new(),
             pending: VecDeque::new(),
             started: now,
-            next: if must_ask && !moved { Next::OnRequest } else { Next::Call(now) },
-            backoff: BACKOFF.0,
+            next: if ask_mode && !moved { Next::OnRequest } else { Next::Call(now) },
+            backoff: MIN_BACKOFF,
         }
     }
 
@@ -125,7 +134,7 @@
             tokio::select! {
                 biased;
                 Some(done) = self.calls.join_next_with_id() => match done {
-                    Ok((_, Ok(answer))) => self.on_answer(answer),
+                    Ok((_, Ok(response))) => self.on_response(response),
                     Ok((id, Err(e))) => self.on_failure(id, &e),
                     Err(e) => self.on_failure(e.id(), &io::Error::other("the call was aborted")),
                 },
@@ -154,12 +163,12 @@
     }
 
     fn on_overdue(&mut self) {
-        // The limiter soon counts as informed of changes that a silent watch misses. So another watch starts at once,
-        // even where the module decides when to retry.
+        // The limiter soon counts as informed of changes that a silent watch misses. So another call starts at once,
+        // even in ask mode.
         let is_watch = self.hold_ms == HOLD_MS;
-        log::info!("discovery: no answer after {:?}", self.started.elapsed());
+        log::info!("discovery: no response after {:?}", self.started.elapsed());
         self.hold_ms = FIRST_HOLD_MS;
-        if self.must_ask && !is_watch {
+        if self.ask_mode && !is_watch {
             self.report_failure();
         } else {
             self.next = Next::Call(Instant::now());
@@ -175,7 +184,7 @@
             return;
         }
         self.hold_ms = FIRST_HOLD_MS;
-        if self.must_ask {
+        if self.ask_mode {
             self.report_failure();
         } else {
             self.back_off();
@@ -190,12 +199,12 @@
     fn back_off(&mut self) {
         self.next = Next::Call(Instant::now() + self.backoff);
         let limit = Duration::from_micros(self.core.config.host_settings.drain_grace) / BACKOFF_GRACE_DIVISOR;
-        let limit = if limit.is_zero() { BACKOFF.1 } else { limit.clamp(BACKOFF.0, BACKOFF.1) };
+        let limit = if limit.is_zero() { MAX_BACKOFF } else { limit.clamp(MIN_BACKOFF, MAX_BACKOFF) };
         self.backoff = (self.backoff * 2).min(limit);
     }
 
-    fn on_answer(&mut self, (list, conn): Answer) {
-        // The answers to the other calls are not needed any more.
+    fn on_response(&mut self, (list, conn): ListResponse) {
+        // The responses to the other calls are not needed any more.
         self.calls = JoinSet::new();
         self.pending.clear();
         self.conn = conn;
@@ -205,7 +214,7 @@
         if list.whole && list.invalid_rows == 0 {
             self.core.update_servers(ListKind::Full, &list);
         } else {
-            // Applied even without changes, as the module derives the age of its list from it.
+            // Applied even without changes, as the gateway derives the age of its list from it.
             self.core.update_servers(ListKind::Delta, &list);
         }
         self.core.ready.set(true);
@@ -218,19 +227,19 @@
         }
         let pause = match (early, has_changes) {
             (false, _) => Duration::ZERO,
-            (true, true) => EARLY_PAUSE.0,
-            (true, false) => EARLY_PAUSE.1,
+            (true, true) => EARLY_CHANGES_PAUSE,
+            (true, false) => EARLY_UNCHANGED_PAUSE,
         };
         self.next = Next::Call(Instant::now() + pause);
-        (self.seq, self.hold_ms, self.backoff) = (Some(list.seq), HOLD_MS, BACKOFF.0);
+        (self.seq, self.hold_ms, self.backoff) = (Some(list.seq), HOLD_MS, MIN_BACKOFF);
     }
 }
 
-/// Time after which an answer is overdue, including the hold time where there is one.
-fn overdue_after(setup: &HostSettings, hold_ms: Option<u64>) -> Duration {
-    let grace = Duration::from_micros(setup.drain_grace) / GRACE_DIVISOR;
-    // Where discovery must be asked, the calls of all limiters wait in one queue there.
-    if setup.settings.watch_discovery || hold_ms == Some(HOLD_MS) || grace.is_zero() {
+/// Time after which a response is overdue, including the hold time if there is one.
+fn overdue_after(host_settings: &HostSettings, hold_ms: Option<u64>) -> Duration {
+    let grace = Duration::from_micros(host_settings.drain_grace) / GRACE_DIVISOR;
+    // In ask mode, the calls of all limiters wait in one queue there.
+    if host_settings.settings.watch_discovery || hold_ms == Some(HOLD_MS) || grace.is_zero() {
         return Duration::from_millis(hold_ms.unwrap_or_default()) + OVERDUE_AFTER;
     }
     grace.min(OVERDUE_AFTER)
@@ -248,7 +257,7 @@
     idle: Option<OutboundConnection>,
     seq: Option<u64>,
     hold_ms: u64,
-) -> io::Result<Answer> {
+) -> io::Result<ListResponse> {
     let target = match seq {
         Some(seq) => format!("/catalog/members?from={seq}&hold_ms={hold_ms}"),
         None => "/catalog/members".to_owned(),
--- a/limeway/src/main.rs
+++ b/limeway/src/main.rs
@@ -34,13 +34,14 @@
 const DISCOVERY_WAIT: Duration = Duration::from_secs(2);
 /// Interval between checks for idle connections to close.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
-/// Time from SIGTERM to the closing of idle connections. New connections still arrive until then and a little longer.
+/// Time from SIGTERM to the closing of idle connections that have carried a request. The listener accepts new
+/// connections until then and a little longer.
 const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(450);
 /// During shutdown, the listener closes once no connection has arrived for this time. Accepting what is then left in
 /// the listen queue may take as long again.
 const LISTEN_QUIET_TIME: Duration = Duration::from_millis(250);
-/// Latest time after SIGTERM at which the listener closes: a request that arrives 0.7 s after SIGTERM or later must be
-/// answered before SIGKILL.
+/// Latest time after SIGTERM at which the listener closes: shortly before the 0.7 s after which a new request may no
+/// longer take its full deadline (see `core::SHUTDOWN_FULL_DEADLINE`), as it must be answered before SIGKILL.
 const LISTEN_MAX_TIME: Duration = Duration::from_millis(650);
 /// Time for clients to take their responses once the last accepted request is answered.
 const LAST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -154,8 +155,8 @@
     }
 }
 
-/// Closes idle connections in time, and declares the limiter ready with the configured servers if discovery does not
-/// answer.
+/// Closes connections to servers and the counter that have been idle for too long, and declares the limiter ready with
+/// the configured servers if discovery does not answer.
 async fn housekeeping(core: Rc<Core>) {
     let start = Instant::now();
     loop {
@@ -164,7 +165,7 @@
         if let Some(counter) = &core.counter {
             counter.prune();
         }
-        // Without a server in service, a ready limiter would only attract clients to reject their requests.
+        // Without a server in service, a ready limiter would attract requests only to reject them.
         if start.elapsed() >= DISCOVERY_WAIT && core.pools.any_in_service() {
             core.ready.set(true);
         }
--- a/limeway/src/network/connection.rs
+++ b/limeway/src/network/connection.rs
@@ -74,17 +74,17 @@
     NothingPending,
     /// There is unread data.
     DataPending,
-    /// The peer has closed its sending side.
-    PeerClosed,
+    /// The other side has closed its sending side, and there is no unread data.
+    EndOfInput,
     /// The connection was reset or failed in another way.
     Failed,
 }
 
-/// Asks the kernel for the state of a socket, as the runtime's view may be one iteration of its event loop behind.
+/// Asks the kernel for the state of a socket, as the runtime's view may be one turn of its event loop behind.
 pub fn socket_state(stream: &TcpStream) -> SocketState {
     let mut byte = [MaybeUninit::uninit(); 1];
     match retry_interrupted(|| socket2::SockRef::from(stream).peek(&mut byte)) {
-        Ok(0) => SocketState::PeerClosed,
+        Ok(0) => SocketState::EndOfInput,
         Ok(_) => SocketState::DataPending,
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => SocketState::NothingPending,
         Err(_) => SocketState::Failed,
@@ -113,7 +113,7 @@
     idle_since: Instant,
     /// Largest body of a response, in bytes.
     max_body: usize,
-    /// The peer's address.
+    /// The address that it was opened to.
     pub address: SocketAddr,
     _held: CountGuard,
 }
@@ -178,8 +178,8 @@
             if self.buffer.is_empty() {
                 self.read_more().await?;
             }
-            if let Some(reply) = self.read_begun_response().await? {
-                return Ok(reply);
+            if let Some(response) = self.read_begun_response().await? {
+                return Ok(response);
             }
         }
         Err(ExchangeError::InvalidResponse("too many interim responses"))
--- a/limeway/src/network/descriptors.rs
+++ b/limeway/src/network/descriptors.rs
@@ -29,9 +29,9 @@
 const MIN_COUNTER_SHARE: usize = 2;
 /// Largest guaranteed share of the counter.
 const MAX_COUNTER_SHARE: usize = 8;
-/// Maximum number of connections to one address of the counter; for the reason see the module `counter`.
+/// Maximum number of connections to one address of the counter; for the reason see `counter.rs`.
 pub const MAX_COUNTER_CONNECTIONS: usize = 24;
-/// Maximum number of calls to discovery in progress, see the module `discovery::follower`. Each is guaranteed a
+/// Maximum number of calls to discovery in progress, see `discovery/follower.rs`. Each is guaranteed a
 /// connection.
 pub const MAX_DISCOVERY_CALLS: usize = 4;
 
--- a/limeway/src/network/http.rs
+++ b/limeway/src/network/http.rs
@@ -29,7 +29,7 @@
 }
 
 impl HttpError {
-    /// Text for messages.
+    /// The reason in words, for logs.
     pub fn reason(self) -> &'static str {
         match self {
             HttpError::Malformed => "malformed message",
--- a/limeway/src/network/network_event.rs
+++ b/limeway/src/network/network_event.rs
@@ -1,5 +1,5 @@
-//! Events that attempts, counter calls and the peer socket report. Commands to them are calls; events come back through
-//! a sink.
+//! Events that attempts, counter calls and the socket for other limiters' datagrams report. These
+//! parts are started by function calls; their events come back through a sink.
 
 use pondgw::{LoadReport, Micros, RequestId, Status};
 use std::rc::Rc;
--- a/limeway/src/peers.rs
+++ b/limeway/src/peers.rs
@@ -25,15 +25,12 @@
     /// Sends a message. One that the socket cannot take at once is lost, as any datagram may be.
     pub fn send(&self, peer: u32, data: &[u8]) {
         if data.len() > MAX_DATAGRAM {
-            log::warn!(
-                "message to limiter {peer} not sent: {} bytes are more than {MAX_DATAGRAM}",
-                data.len()
-            );
+            log::warn!("limiter {peer}: message not sent: {} bytes are more than {MAX_DATAGRAM}", data.len());
             return;
         }
         if let Some(&address) = self.addresses.get(peer as usize) {
             if let Err(e) = self.socket.try_send_to(data, address) {
-                log::debug!("message to limiter {peer} lost: {e}");
+                log::debug!("limiter {peer}: message to {address} lost: {e}");
             }
         }
     }
--- a/limeway/src/upstream/attempts.rs
+++ b/limeway/src/upstream/attempts.rs
@@ -34,7 +34,7 @@
     pub server: ServerId,
     /// The request to send.
     pub request: Rc<ForwardedRequest>,
-    /// Time by which the server has to answer, on the module's clock.
+    /// Time by which the server has to answer, on the gateway's clock.
     pub deadline: Micros,
     /// Cleared when the request has ended or the attempt has been stopped: the request is not written after that.
     pub may_write: Rc<Cell<bool>>,
@@ -79,8 +79,8 @@
         });
     }
 
-    /// Whether a body that is delimited by the end of its connection is complete, as far as that can be known: the
-    /// server must still be up, and the body must not contain a second response.
+    /// Whether a body that is delimited by the end of its connection is complete, as far as that can be known: it must
+    /// not be empty or contain a second response, and the server must still be up.
     fn is_complete(&self, server: ServerId, started: Instant, body: &[u8]) -> bool {
         !body.is_empty() && !http::contains_status_line(body) && self.pools.seems_up_since(server, started)
     }
@@ -98,16 +98,18 @@
                         conn
                     }
                     Ok(Err(e)) if is_local_error(&e) => {
-                        self.log_limiter
-                            .warn(format_args!("cannot open a connection to server {}: {e}", spec.server));
+                        self.log_limiter.warn(format_args!(
+                            "server {}: cannot open a connection to {address}: {e}",
+                            spec.server
+                        ));
                         return Status::NotSent.into();
                     }
                     Ok(Err(e)) => {
-                        log::debug!("connection to server {} at {address} failed: {e}", spec.server);
+                        log::debug!("server {}: connection to {address} failed: {e}", spec.server);
                         return Status::ConnectFailed.into();
                     }
                     Err(_) => {
-                        log::debug!("connection to server {} at {address} timed out", spec.server);
+                        log::debug!("server {}: connection to {address} timed out", spec.server);
                         return Status::ConnectFailed.into();
                     }
                 }
@@ -127,14 +129,14 @@
         // The time left is computed only now, as establishing the connection may have taken long.
         let message = request_bytes(&spec.request, spec.deadline.saturating_sub(self.clock.now()));
         if let Err(e) = conn.write(&message, written).await {
-            log::debug!("connection to server {} broke before the request was written: {e}", spec.server);
+            log::debug!("server {}: connection broke before the request was written: {e}", spec.server);
             // The request was not written completely, so the server cannot have run it.
             return Status::ConnectFailed.into();
         }
         let Response { head, bytes, body, reusable, close_delimited } = match conn.read_response().await {
-            Ok(reply) => reply,
+            Ok(response) => response,
             Err(ExchangeError::Connection(e)) => {
-                log::debug!("connection to server {} broke: {e}", spec.server);
+                log::debug!("server {}: connection broke: {e}", spec.server);
                 pools.record_reset(spec.server);
                 return Status::Reset.into();
             }
--- a/limeway/src/upstream/servers.rs
+++ b/limeway/src/upstream/servers.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Idle connections are kept for this fraction of the time after which servers close them. A request that is written
+/// Idle connections are kept for the time after which servers close them, divided by this. A request that is written
 /// just as the server closes would end as a reset, and count as possibly run.
 const IDLE_TIMEOUT_DIVISOR: u32 = 3;
 /// Time for which a connection is not reused after a response. Any surplus bytes behind the response must arrive before
@@ -24,7 +24,7 @@
     name: String,
     /// Discovery has removed it or no longer lists it.
     removed: bool,
-    outstanding_attempts: usize,
+    attempts_in_flight: usize,
     address: Option<SocketAddr>,
     /// When it last started. Connections from before a restart are dead.
     started_ms: u64,
@@ -47,7 +47,7 @@
 pub struct ServerPools {
     servers: RefCell<Vec<Server>>,
     ids: RefCell<HashMap<String, ServerId>>,
-    /// Ids of removed servers without outstanding attempts, for reuse.
+    /// Ids of removed servers without attempts in flight, for reuse.
     free_ids: RefCell<Vec<ServerId>>,
     zones: RefCell<Zones>,
     descriptors: Rc<DescriptorBudget>,
@@ -59,28 +59,28 @@
 
 impl ServerPools {
     /// Pools without any server.
-    pub fn new(setup: &HostSettings, descriptors: Rc<DescriptorBudget>) -> Self {
+    pub fn new(host_settings: &HostSettings, descriptors: Rc<DescriptorBudget>) -> Self {
         ServerPools {
             servers: RefCell::default(),
             ids: RefCell::default(),
             free_ids: RefCell::default(),
-            zones: RefCell::new(Zones::new(&setup.zones)),
+            zones: RefCell::new(Zones::new(&host_settings.zones)),
             descriptors,
-            max_idle: Duration::from_micros(setup.server_idle_timeout) / IDLE_TIMEOUT_DIVISOR,
-            connect_timeout: Duration::from_micros(setup.connect_timeout),
+            max_idle: Duration::from_micros(host_settings.server_idle_timeout) / IDLE_TIMEOUT_DIVISOR,
+            connect_timeout: Duration::from_micros(host_settings.connect_timeout),
         }
     }
 
-    /// Applies a list of servers and converts it to the module's form. A server is identified by its name, as its
+    /// Applies a list of servers and converts it to the gateway's form. A server is identified by its name, as its
     /// address may change. Idle connections to a former address, or to a server that has restarted or left service, are
     /// closed.
     pub fn apply_list(&self, kind: ListKind, list: &ServerList) -> Vec<ServerEntry> {
         let (mut servers, mut ids) = (self.servers.borrow_mut(), self.ids.borrow_mut());
         let mut zones = self.zones.borrow_mut();
-        // Ids are reused, so that state does not grow with every new server. The module learned of the removal from an
+        // Ids are reused, so that state does not grow with every new server. The gateway learned of the removal from an
         // earlier list and has received the outcome of every attempt, so it too takes a reused id for a new server.
         let mut free_ids = self.free_ids.borrow_mut();
-        let unused = |server: &Server| server.removed && server.outstanding_attempts == 0;
+        let unused = |server: &Server| server.removed && server.attempts_in_flight == 0;
         for (id, server) in servers.iter_mut().enumerate().filter(|(_, server)| unused(server)) {
             if ids.remove(&std::mem::take(&mut server.name)).is_some() {
                 free_ids.push(id);
@@ -94,7 +94,7 @@
                 let server = Server {
                     name: row.host.clone(),
                     removed: false,
-                    outstanding_attempts: 0,
+                    attempts_in_flight: 0,
                     address: None,
                     started_ms: row.born_ms,
                     in_service: false,
@@ -198,17 +198,17 @@
         self.servers.borrow().iter().any(|s| s.in_service && s.address.is_some())
     }
 
-    /// Counts an attempt as outstanding; the id of its server is not reused until it has ended.
+    /// Counts an attempt as in flight; the id of its server is not reused until it has ended.
     pub fn attempt_started(&self, id: ServerId) {
         if let Some(server) = self.servers.borrow_mut().get_mut(id) {
-            server.outstanding_attempts += 1;
+            server.attempts_in_flight += 1;
         }
     }
 
     /// Counts an attempt as ended.
     pub fn attempt_ended(&self, id: ServerId) {
         if let Some(server) = self.servers.borrow_mut().get_mut(id) {
-            server.outstanding_attempts = server.outstanding_attempts.saturating_sub(1);
+            server.attempts_in_flight = server.attempts_in_flight.saturating_sub(1);
         }
     }
 
@@ -229,7 +229,7 @@
         let Some(server) = servers.get(id).filter(|server| !server.removed) else { return false };
         let states: Vec<SocketState> = server.idle.iter().map(OutboundConnection::socket_state).collect();
         let reset = server.reset_at.is_some_and(|at| at >= since) || states.contains(&SocketState::Failed);
-        let all_ended = !states.is_empty() && states.iter().all(|state| *state == SocketState::PeerClosed);
+        let all_ended = !states.is_empty() && states.iter().all(|state| *state == SocketState::EndOfInput);
         !reset && !all_ended
     }
 
--- a/limeway/src/upstream/zones.rs
+++ b/limeway/src/upstream/zones.rs
@@ -1,4 +1,4 @@
-//! Maps zone names, which discovery uses, to the zone numbers that the module uses.
+//! Maps zone names, which discovery uses, to the zone numbers that the gateway uses.
 
 use pondgw::ServerId;
 use std::collections::HashMap;
--- a/limeway/tests/unit/listener.rs
+++ b/limeway/tests/unit/listener.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 /// Guards against an error of one client's connection that delays the others. These are the errors that accept(2)
-/// attributes to the connection to be accepted: ECONNABORTED, EPROTO, EINTR, EPERM, ETIMEDOUT, and the pending errors of
-/// its network (ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH).
+/// attributes to the connection to be accepted: ECONNABORTED, EPROTO, EINTR, EPERM, ETIMEDOUT, and the pending errors
+/// of its network (ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH).
 #[test]
 fn an_error_of_one_connection_does_not_delay_the_next() {
     for code in [103, 71, 4, 1, 110, 100, 92, 112, 64, 113, 95, 101] {
--- a/limeway/tests/unit/zones.rs
+++ b/limeway/tests/unit/zones.rs
@@ -11,7 +11,7 @@
     let mut zones = Zones::new(&names);
     let named: Vec<usize> = names.iter().map(|name| zones.number(name, 0)).collect();
     assert_eq!(named, (0..1_024).collect::<Vec<_>>(), "numbered in the order of the settings");
-    let unnamed = |n: usize| format!("strange-{n}");
+    let unnamed = |n: usize| format!("unnamed-{n}");
     let count = MAX_LISTED_ZONES + 500;
     let numbers: HashSet<usize> = (0..count).map(|n| zones.number(&unnamed(n), n)).collect();
     assert_eq!(numbers.len(), count);
