--- a/scale/src/deployment.rs
+++ b/scale/src/deployment.rs
@@ -23,7 +23,8 @@
     pub regions: usize,
     /// Number of zones in each region.
     pub zones_per_region: usize,
-    /// Limiters request the list of servers from discovery; otherwise it is pushed to them.
+    /// The decision module asks discovery for changes of the list of servers; otherwise they are pushed to it, by its
+    /// host in a real limiter.
     pub watch_discovery: bool,
 }
 
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -154,19 +154,19 @@
 /// Runs the soak test with a series of seeds; an error if a rule was broken with any of them.
 fn run_soak(SoakArgs { first_seed, seeds, program }: SoakArgs) -> Result<(), Box<dyn std::error::Error>> {
     let program = program.map_or_else(default_program, Ok)?;
-    let mut broken = Vec::new();
+    let mut seeds_with_violations = Vec::new();
     for seed in first_seed..first_seed.saturating_add(seeds) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let summary = LocalSet::new().block_on(&runtime, soak::run_seed(&program, seed))?;
         println!("seed {seed}: {summary}");
         if summary.has_violations() {
-            broken.push(seed.to_string());
+            seeds_with_violations.push(seed.to_string());
         }
     }
-    if broken.is_empty() {
+    if seeds_with_violations.is_empty() {
         return Ok(());
     }
-    Err(format!("rules were broken with seed {}", broken.join(", ")).into())
+    Err(format!("rules were broken with seed {}", seeds_with_violations.join(", ")).into())
 }
 
 /// Runs the measurements and simulations of a command and writes the report.
@@ -349,7 +349,7 @@
     }
 }
 
-/// The same scenario with a fault, and with limiters that watch discovery.
+/// The given scenario with a fault, and with limiters that ask discovery for changes of the list.
 fn watching_with_fault(scenario: Scenario, fault: Fault) -> Scenario {
     let deployment = Deployment { watch_discovery: true, ..scenario.deployment };
     Scenario { deployment, fault, ..scenario }
--- a/scale/src/real.rs
+++ b/scale/src/real.rs
@@ -220,7 +220,7 @@
     Ok(())
 }
 
-/// Sets one server to draining: how long until all limiters have applied the change, and what it costs each of them.
+/// Sets one server to draining, and records how long all limiters take to apply the change and what it costs each.
 async fn measure_change(stand_ins: &StandIns, limiters: &[LimiterProcess], run: &mut Run) {
     let cpu_before = total_cpu_seconds(limiters);
     let row = stand_ins.deployment.discovery_row(0, &stand_ins.server_address.to_string(), "DRAINING");
@@ -263,10 +263,12 @@
         let customer = random.random_range(0..measurement.customers.max(1));
         requests_by_client[n as usize % CLIENTS_PER_LIMITER].push((first_id + n, customer));
     }
-    let spread = LIMITERS_PER_CUSTOMER.min(measurement.limiters);
+    let limiters_per_customer = LIMITERS_PER_CUSTOMER.min(measurement.limiters);
     let clients: Vec<_> = requests_by_client
         .into_iter()
-        .map(|requests| tokio::task::spawn_local(run_client(address, requests, spread, measurement.pause)))
+        .map(|requests| {
+            tokio::task::spawn_local(run_client(address, requests, limiters_per_customer, measurement.pause))
+        })
         .collect();
     let (mut latency, mut served) = (latency_histogram()?, 0);
     for client in clients {
@@ -280,11 +282,12 @@
 }
 
 /// Sends requests, given as (id, customer), one after the other on one connection. Gives the latency of each in
-/// microseconds and the number that were served.
+/// microseconds and the number that were served. `limiters_per_customer` is only stated in the requests, which
+/// all go to `address`.
 async fn run_client(
     address: SocketAddr,
     requests: Vec<(u64, u64)>,
-    spread: u32,
+    limiters_per_customer: u32,
     pause: Duration,
 ) -> io::Result<(Vec<u64>, u64)> {
     let (mut stream, mut buffer) = (TcpStream::connect(address).await?, Vec::new());
@@ -293,7 +296,7 @@
     for (id, customer) in requests {
         let message = format!(
             "GET /look/{customer:016x} HTTP/1.1\r\nHost: x\r\nReq-Id: {id:016x}\r\nReq-Kind: look\r\nPlan: plan\r\n\
-             Req-Deadline-Ms: {DEADLINE_MS}\r\nQuota-Info: units=1,spread={spread},first=0\r\n\r\n"
+             Req-Deadline-Ms: {DEADLINE_MS}\r\nQuota-Info: units=1,spread={limiters_per_customer},first=0\r\n\r\n"
         );
         let start = Instant::now();
         let status = exchange(&mut stream, &mut buffer, &message).await?;
--- a/scale/src/simulation/event_queue.rs
+++ b/scale/src/simulation/event_queue.rs
@@ -26,7 +26,8 @@
     LimiterRestart(usize),
 }
 
-/// Future events, each with the incarnation of the limiter that it is meant for; an event for no limiter has 0.
+/// Future events, each with the incarnation of the limiter that it is meant for. Events that are not
+/// cancelled when a limiter is killed have 0, which is ignored.
 #[derive(Default)]
 pub(super) struct EventQueue {
     queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
--- a/scale/src/simulation/faults.rs
+++ b/scale/src/simulation/faults.rs
@@ -39,6 +39,7 @@
                 let down = self.random.random_range(RESTART_TIME);
                 self.events.push(self.now + down, 0, SimulationEvent::LimiterRestart(n));
             } else if self.scenario.fault == Fault::Discovery {
+                // The pending call of a limiter that asks for changes fails; pushed changes just stop.
                 self.limiters[n].subscribed = false;
                 if !self.scenario.deployment.watch_discovery {
                     continue;
--- a/scale/src/soak.rs
+++ b/scale/src/soak.rs
@@ -35,7 +35,7 @@
 const UPTIME_MS: std::ops::Range<u64> = 800..1_800;
 /// Time between two signals of a sequence, in milliseconds.
 const SIGNAL_INTERVAL_MS: std::ops::Range<u64> = 0..150;
-/// Time after SIGTERM for which clients still open new connections (from the protocol specification).
+/// Time after SIGTERM for which clients still open new connections (from the specification).
 const NEW_CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
 /// A limiter that still runs after SIGTERM is killed after this time plus the requests' deadline.
 const KILL_DELAY: Duration = Duration::from_millis(700);
@@ -43,7 +43,7 @@
 const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
 /// A limiter that is not ready this long after its start counts as failed.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for which a limiter is paused now and then (from the fleet specification), in milliseconds.
+/// Time for which a limiter is paused now and then (from the specification), in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 20..150;
 /// Time between two pauses of a limiter, in milliseconds.
 const PAUSE_INTERVAL_MS: std::ops::Range<u64> = 100..500;
@@ -61,7 +61,7 @@
 const CROWDED_SOCKETS: u32 = 128;
 /// Descriptors of each limiter in any other run.
 const SOCKETS: u32 = 1_024;
-/// Sequences of signals, of which a limiter gets one each time that it is to end.
+/// Sequences of signals; each termination of a limiter uses one of them, drawn at random.
 const SIGNAL_SEQUENCES: [&[&str]; 5] = [
     &["TERM"],
     &["TERM", "TERM", "HUP"],
@@ -109,8 +109,8 @@
     default
 }
 
-/// Settings of a limiter: one class for each effect of repeats, all with the same deadline, and a quota so high that
-/// no customer uses it up.
+/// Settings of a limiter: one class for each effect that a repeat can have, all with the same deadline, and a quota so
+/// high that no customer uses it up.
 fn limiter_settings(deployment: &Deployment, limiter: u32, deadline: Duration) -> Value {
     let mut settings = deployment.limiter_settings(limiter);
     let class = |name: &str, effect: &str| {
@@ -172,9 +172,9 @@
         task.await.map_err(io::Error::other)?;
     }
     state.finished.set(true);
-    let timeout = tokio::time::Instant::now() + CLIENT_SHUTDOWN_TIMEOUT;
+    let shutdown_deadline = tokio::time::Instant::now() + CLIENT_SHUTDOWN_TIMEOUT;
     for client in clients {
-        let _ = tokio::time::timeout_at(timeout, client).await;
+        let _ = tokio::time::timeout_at(shutdown_deadline, client).await;
     }
     list_changes.abort();
     Ok(state.log.summarize(crowded))
--- a/scale/src/soak/client.rs
+++ b/scale/src/soak/client.rs
@@ -111,7 +111,7 @@
         if behaviour == Behaviour::Disconnects {
             return false;
         }
-        let response = timeout(deadline + ANSWER_GRACE, self.read_end(id)).await;
+        let response = timeout(deadline + ANSWER_GRACE, self.read_answer(id)).await;
         let (end, reusable) = match response {
             Ok(Ok(answered)) => answered,
             Ok(Err(_)) => (End::Closed, false),
@@ -121,17 +121,17 @@
         reusable && behaviour != Behaviour::HalfCloses
     }
 
-    /// Writes a text, with a pause in the middle if one is given.
-    async fn write(&mut self, text: &[u8], pause: Option<Duration>) -> io::Result<()> {
-        let Some(pause) = pause else { return self.stream.write_all(text).await };
-        let (first_half, second_half) = text.split_at(text.len() / 2);
+    /// Writes bytes, with a pause in the middle if one is given.
+    async fn write(&mut self, bytes: &[u8], pause: Option<Duration>) -> io::Result<()> {
+        let Some(pause) = pause else { return self.stream.write_all(bytes).await };
+        let (first_half, second_half) = bytes.split_at(bytes.len() / 2);
         self.stream.write_all(first_half).await?;
         sleep(pause).await;
         self.stream.write_all(second_half).await
     }
 
     /// Reads the answer to a request; also gives whether the limiter keeps the connection open.
-    async fn read_end(&mut self, id: usize) -> io::Result<(End, bool)> {
+    async fn read_answer(&mut self, id: usize) -> io::Result<(End, bool)> {
         let (head, body) = read_response(&mut self.stream, &mut self.buffer).await?;
         let closes = header(&head, "connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
         let end = End::Answered { status: status(&head), own_body: body == format!("{id:x}") };
@@ -163,7 +163,7 @@
     )
 }
 
-/// Keeps a number of connections to a limiter open, without a request or with half a one, until the run is finished.
+/// Keeps a number of connections to a limiter open, with no request or half of one, until the run is finished.
 pub async fn hold_idle_connections(state: Rc<SharedState>, limiter: usize, connections: usize) {
     let limiter = &state.limiters[limiter];
     let mut open: Vec<TcpStream> = Vec::new();
--- a/scale/src/soak/request_log.rs
+++ b/scale/src/soak/request_log.rs
@@ -7,18 +7,17 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Time after its deadline within which a request has to be answered (from the fleet specification).
+/// Time after its deadline within which a request has to be answered (from the specification).
 pub const ANSWER_GRACE: Duration = Duration::from_millis(500 + 250);
-/// Time for which requests may reach a server after discovery has changed it to draining (from the protocol
-/// specification).
+/// Time for which requests may reach a server after discovery has changed it to draining (from the specification).
 const DRAIN_GRACE: Duration = Duration::from_millis(1_000 + 50 + 100);
 /// Time for which an attempt may reach a server after its client has left.
 const LEAVE_GRACE: Duration = Duration::from_millis(100 + 50);
-/// How much more than the remaining time a server may be told.
+/// How far the deadline that a server is given may lie after the client's.
 const DEADLINE_GRACE: Duration = Duration::from_millis(150 + 50);
-/// Time for which servers drop the repeats of a keyed request.
+/// Time for which servers drop repeats of a keyed request.
 pub const DEDUP_WINDOW: Duration = Duration::from_millis(1_000);
-/// How much later than the window a repeat may reach a server (from the protocol specification).
+/// How much later than the window a repeat may reach a server (from the specification).
 const DEDUP_GRACE: Duration = Duration::from_millis(50 + 50);
 
 /// Classes of requests, by the effect of a repeat.
@@ -37,8 +36,8 @@
 pub struct Arrival {
     /// When the server had received all of it.
     pub at: Instant,
-    /// Remaining time that the server was told.
-    pub told_time: Duration,
+    /// Time to the deadline that the attempt gave the server.
+    pub time_left: Duration,
     /// The server declined it, and said so in its answer.
     pub declined: bool,
 }
@@ -124,7 +123,7 @@
         }
     }
 
-    /// Records that an attempt reached a server, which may be draining since a time.
+    /// Records that an attempt reached a server. `draining_since` is when the server began to drain, if it has.
     pub fn record_arrival(&self, id: usize, arrival: Arrival, draining_since: Option<Instant>) {
         if draining_since.is_some_and(|since| arrival.at > since + DRAIN_GRACE) {
             self.other_violations.borrow_mut().sent_to_draining += 1;
@@ -162,8 +161,8 @@
     repeated: usize,
     /// Requests that got the answer to another request.
     misrouted: usize,
-    /// Requests of which a server was told more than the remaining time.
-    told_too_much_time: usize,
+    /// Requests of which a server was given a deadline after the client's.
+    deadline_too_late: usize,
     other_violations: OtherViolations,
 }
 
@@ -171,28 +170,28 @@
     /// Whether any rule was broken.
     pub fn has_violations(&self) -> bool {
         let OtherViolations { sent_to_draining, stalls_kept_open, killed, failed } = self.other_violations;
-        let requests = self.lost + self.repeated + self.misrouted + self.told_too_much_time;
+        let requests = self.lost + self.repeated + self.misrouted + self.deadline_too_late;
         requests + sent_to_draining + stalls_kept_open + killed + failed > 0
     }
 
     /// Counts one request; true if it breaks a rule.
     fn add(&mut self, request: &Request, crowded: bool) -> bool {
         self.requests += 1;
-        // A limiter may close a kept connection just as the next request comes, but it has to answer a request that it
-        // has sent on, and the first one of each connection that it accepts.
-        let was_sent_on = !request.arrivals.is_empty();
-        let must_answer = was_sent_on || (request.first_on_connection && !crowded);
+        // A limiter may close a kept-alive connection just as the next request arrives, but it has to answer a request
+        // that it has forwarded, and the first one of each connection that it accepts.
+        let was_forwarded = !request.arrivals.is_empty();
+        let must_answer = was_forwarded || (request.first_on_connection && !crowded);
         let mut lost = self.count_end(request, must_answer);
         let after_leave = |a: &Arrival| request.left_at.is_some_and(|left_at| a.at > left_at + LEAVE_GRACE);
         lost |= request.arrivals.iter().any(after_leave);
         let repeated = is_wrongly_repeated(request);
-        let told_too_much_time = request.arrivals.iter().any(|a| is_told_too_much_time(request, a));
+        let deadline_too_late = request.arrivals.iter().any(|a| is_deadline_too_late(request, a));
         let misrouted = matches!(request.end, Some(End::Answered { status: 200, own_body: false }));
         self.lost += usize::from(lost);
         self.repeated += usize::from(repeated);
-        self.told_too_much_time += usize::from(told_too_much_time);
+        self.deadline_too_late += usize::from(deadline_too_late);
         self.misrouted += usize::from(misrouted);
-        lost || repeated || told_too_much_time || misrouted
+        lost || repeated || deadline_too_late || misrouted
     }
 
     /// Counts how a request ended; true if it was lost. `must_answer` tells whether it is lost when its connection
@@ -212,25 +211,25 @@
     }
 }
 
-/// Whether a request reached servers more often than its class allows, or must not be repeated and was refused, which
-/// invites a repeat, though a server may have run it.
+/// Whether a request breaks the rule of its class on repeats: too many of its attempts reached servers, or it must not
+/// be repeated and was refused, which invites the client to repeat it, after a server may have executed it.
 fn is_wrongly_repeated(request: &Request) -> bool {
-    let Some(first_run) = request.arrivals.iter().position(|a| !a.declined) else { return false };
+    let Some(first_undeclined) = request.arrivals.iter().position(|a| !a.declined) else { return false };
     let refused = matches!(request.end, Some(End::Answered { status: 429 | 503, .. }));
     match request.class {
         Class::Idempotent => false,
         Class::Keyed => {
-            let last_allowed = request.arrivals[first_run].at + DEDUP_WINDOW + DEDUP_GRACE;
-            request.arrivals[first_run..].iter().any(|a| a.at > last_allowed)
+            let last_allowed = request.arrivals[first_undeclined].at + DEDUP_WINDOW + DEDUP_GRACE;
+            request.arrivals[first_undeclined..].iter().any(|a| a.at > last_allowed)
         }
-        Class::NonIdempotent => refused || request.arrivals.len() > first_run + 1,
+        Class::NonIdempotent => refused || request.arrivals.len() > first_undeclined + 1,
     }
 }
 
-/// Whether a server was told more time than the client had left.
-fn is_told_too_much_time(request: &Request, arrival: &Arrival) -> bool {
+/// Whether the deadline that an attempt gave a server lies after the client's.
+fn is_deadline_too_late(request: &Request, arrival: &Arrival) -> bool {
     let Some(sent_at) = request.sent_at else { return false };
-    arrival.told_time + arrival.at.saturating_duration_since(sent_at) > request.deadline + DEADLINE_GRACE
+    arrival.time_left + arrival.at.saturating_duration_since(sent_at) > request.deadline + DEADLINE_GRACE
 }
 
 impl fmt::Display for Summary {
@@ -248,7 +247,7 @@
             self.lost,
             self.repeated,
             self.misrouted,
-            self.told_too_much_time
+            self.deadline_too_late
         )
     }
 }
--- a/scale/src/soak/server.rs
+++ b/scale/src/soak/server.rs
@@ -19,8 +19,8 @@
 const SERVICE_TIME_MS: std::ops::Range<u64> = 2..30;
 /// Pause before the second part of an answer in two parts, before a second answer, and before a reset.
 const PART_PAUSE: Duration = Duration::from_millis(5);
-/// Remaining time that a request without a deadline header counts as: long enough to be a violation.
-const NO_DEADLINE: Duration = Duration::from_secs(3_600);
+/// Time left that is recorded for an attempt without a deadline header: long enough to be a violation.
+const TIME_LEFT_WITHOUT_DEADLINE: Duration = Duration::from_secs(3_600);
 
 /// What a server does with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     TruncatesWithoutLength,
     /// Never answers.
     Hangs,
-    /// Declines the request with status 503 and says that it has not run.
+    /// Declines the request with status 503 and a header that says that it was not executed.
     Declines,
     /// Answers with status 500.
     Fails,
@@ -92,7 +92,7 @@
     while let Some(head) = read_head(&mut stream, &mut buffer).await? {
         read_body(&mut stream, &mut buffer, &head).await?;
         let id = header(&head, "req-id").unwrap_or_default();
-        let told_ms = header(&head, "req-deadline-ms").and_then(|ms| ms.parse().ok());
+        let time_left_ms = header(&head, "req-deadline-ms").and_then(|ms| ms.parse().ok());
         let (behaviour, service_time) = {
             let mut random = random.borrow_mut();
             (
@@ -102,7 +102,7 @@
         };
         let arrival = Arrival {
             at: Instant::now(),
-            told_time: told_ms.map_or(NO_DEADLINE, Duration::from_millis),
+            time_left: time_left_ms.map_or(TIME_LEFT_WITHOUT_DEADLINE, Duration::from_millis),
             declined: behaviour == Behaviour::Declines,
         };
         log.record_arrival(
--- a/scale/src/standins.rs
+++ b/scale/src/standins.rs
@@ -128,7 +128,7 @@
     pub traffic: Rc<Traffic>,
     rows: RefCell<Vec<String>>,
     version: Cell<u64>,
-    /// The response that tells of the last change: a list with just the changed row.
+    /// Body of the response that reports the last change: a list with just the changed row.
     last_change: RefCell<String>,
     changed: Notify,
     /// When each connection first asked for changes since the present version, which shows that its limiter has
