--- a/limeway/tests/common/client.rs
+++ b/limeway/tests/common/client.rs
@@ -43,9 +43,10 @@
     }
 }
 
-/// A request of the given class for customer 0xb4d65521, as a client sends it. Class `look` is safe to repeat, `book` is
-/// safe to repeat under its idempotency key, and `once` is unsafe to repeat. Plan `team` allows 50 requests per second;
-/// plan `tiny` allows two, and then hardly any.
+/// A request of the given class for customer 0xb4d65521, as a client sends it. Class `look` is safe to repeat, `book`
+/// is safe to repeat under its idempotency key, and `once` is unsafe to repeat. Plan `team` allows 50 requests per
+/// second; plan `tiny` allows two, and then hardly any. The request uses one unit, and its customer's quota is shared
+/// by the two gateways of the default setup.
 pub fn request(class: &str, id: &str, plan: &str, deadline_ms: u64) -> String {
     let (method, more) = match class {
         "look" => ("GET", ""),
--- a/limeway/tests/common/discovery.rs
+++ b/limeway/tests/common/discovery.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for discovery, and the server lists that they return. A watch is a long poll: a call that names the
-//! version held (`from=`) and how long to wait for changes to it (`hold_ms=`). So a watch from a version shows that the
-//! limiter has applied the list of that version.
+//! Stand-ins for discovery, and the server lists that they return. A watch is a long poll: a call that names the list
+//! version that the limiter has (`from=`) and for how long discovery may hold the call while there are no changes
+//! (`hold_ms=`). So a watch from a version shows that the limiter has applied the list of that version.
 
 use super::*;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -32,7 +32,7 @@
     let (updates, pending) = channel::<String>();
     let pending = Mutex::new(pending);
     let discovery = stand_in_at(address, move |_, message, stream| {
-        // A call that will not wait gets the full list: discovery may return that if the version held is an old one.
+        // A call with `hold_ms=1` is no watch. It gets the full list, which discovery may return for an old version.
         if message.start_line.contains("from=") && !message.start_line.contains("hold_ms=1 ") {
             let pending = pending.lock().expect("lock is not poisoned");
             match pending.recv() {
@@ -49,9 +49,9 @@
 /// How a [`FaultyDiscovery`] treats calls.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum DiscoveryMode {
-    /// Responds at once if it has a change or the full list is asked for, else when the wait is over.
+    /// Responds at once if it has a change or the full list is requested, else when the hold time is over.
     Respond,
-    /// Never responds, neither to new calls nor to those that wait.
+    /// Never responds, neither to new calls nor to those that it holds.
     Silent,
     /// Responds with status 503.
     Unavailable,
@@ -117,12 +117,12 @@
 }
 
 impl FaultyDiscovery {
-    /// Changes the mode, also for calls that wait.
+    /// Changes the mode, also for calls that are held.
     pub fn set_mode(&self, mode: DiscoveryMode) {
         self.state.lock().expect("lock is not poisoned").0 = mode;
     }
 
-    /// Responds from now on, and has this change.
+    /// Switches to [`DiscoveryMode::Respond`], with this list as the change.
     pub fn recover_with(&self, change: String) {
         *self.state.lock().expect("lock is not poisoned") = (DiscoveryMode::Respond, Some(change));
     }
--- a/limeway/tests/common/limiter.rs
+++ b/limeway/tests/common/limiter.rs
@@ -128,7 +128,7 @@
             own_socket.local_addr().expect("a local address"),
             peer_socket.local_addr().expect("a local address"),
         ];
-        // The limiter binds this address.
+        // Frees the address for the limiter to bind.
         drop(own_socket);
         let listen = unused_address();
         let discovery = match self.discovery {
@@ -309,7 +309,7 @@
         line.trim().trim_end_matches(" kB").parse::<u64>().expect("a number") / 1024
     }
 
-    /// Whether a new connection is accepted and the limiter reports that it is ready.
+    /// Like [`Self::is_ready`], but panics if it accepts no connection.
     pub fn passes_health_check(&self) -> bool {
         self.client().health_check()
     }
--- a/limeway/tests/common/stand_ins.rs
+++ b/limeway/tests/common/stand_ins.rs
@@ -96,16 +96,16 @@
     write_response(stream, "200 OK", "served");
 }
 
-/// A listener with a full backlog: connections to it stay in the handshake until it starts to accept.
-pub struct FullBacklog {
+/// A listener whose accept queue is full: connections to it stay in the handshake until it starts to accept.
+pub struct FullAcceptQueue {
     listener: TcpListener,
     pub address: SocketAddr,
-    /// The connections that fill the backlog.
+    /// The connections that fill the accept queue.
     fill: Vec<Socket>,
 }
 
-impl FullBacklog {
-    /// Listens and fills the backlog.
+impl FullAcceptQueue {
+    /// Listens and fills the accept queue.
     pub fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).expect("a free port");
@@ -114,16 +114,20 @@
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("a local address");
         let mut fill = Vec::new();
-        // The system completes handshakes until the backlog is full; the first connect that times out shows that it
-        // is.
+        // The system completes handshakes until the queue is full; the first connect that times out shows that it is.
         for _ in 0..16 {
             let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
             if socket.connect_timeout(&address.into(), Duration::from_millis(300)).is_err() {
-                return FullBacklog { listener, address, fill };
+                return FullAcceptQueue { listener, address, fill };
             }
             fill.push(socket);
         }
-        panic!("the backlog is not full after 16 connections");
+        panic!("the accept queue is not full after 16 connections");
+    }
+
+    /// A stand-in with this listener's address, to be listed in a [`LimiterSetup`]; its `requests` receives none.
+    pub fn listed(&self) -> StandIn {
+        StandIn { address: self.address, requests: channel().1 }
     }
 
     /// Waits until a connection to this listener is in the handshake, by the system's socket table.
@@ -146,7 +150,7 @@
     }
 
     /// Starts to accept, and serves requests with 200. The receiver gets a message for each connection, except those
-    /// that filled the backlog.
+    /// that filled the accept queue.
     pub fn start_accepting(self) -> (StandIn, Receiver<()>) {
         let filled = self.fill.len();
         drop(self.fill);
@@ -184,7 +188,7 @@
     (counter, answered)
 }
 
-/// Starts a server stand-in that holds each response until a message is sent on the sender, or it is
+/// Starts a server stand-in that holds each response until a message is sent on the sender, or until the sender is
 /// dropped. The response body is the request's `Req-Id`.
 pub fn gated_server() -> (StandIn, Sender<()>) {
     let (release, wait) = channel::<()>();
--- a/limeway/tests/crossings.rs
+++ b/limeway/tests/crossings.rs
@@ -1,6 +1,6 @@
-//! Races between two events, against the real program. Each test orders the events by the steps of the limiter's
-//! peers (accept, read, hold back, reset), and learns what the limiter has processed from its responses, not from the
-//! time that has passed. `docs/crossings.md` has the table of these pairs of events.
+//! Races between two events, against the real program. Each test orders the events by what its clients and stand-ins do
+//! (accept, read, hold back, reset), and learns what the limiter has processed from its responses, not from the time
+//! that has passed. `docs/crossings.md` has the table of these pairs of events.
 
 mod common;
 use common::*;
@@ -18,8 +18,8 @@
     for cancel in [true, false] {
         for how in [Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset] {
             for behind in bytes_behind() {
-                let (backlog, (counter, answered)) = (FullBacklog::new(), notifying_counter());
-                let server = StandIn { address: backlog.address, requests: std::sync::mpsc::channel().1 };
+                let (listener, (counter, answered)) = (FullAcceptQueue::new(), notifying_counter());
+                let server = listener.listed();
                 let mut setup = LimiterSetup::new(&[&server], &counter);
                 setup.extra_permissions = format!(r#","cancel":{cancel},"dial-timeout":15000000"#);
                 let mut limiter = setup.start();
@@ -32,7 +32,7 @@
                 disconnect(&client, how);
                 drop(client);
                 wait_two_loop_iterations(&limiter);
-                let (server, accepted) = backlog.start_accepting();
+                let (server, accepted) = listener.start_accepting();
                 if !cancel {
                     // The attempt is not cancelled, so its connection opens, and the limiter then finds that the
                     // client has gone. The outcome is the same if only the limiter's side takes the connection for
@@ -89,8 +89,8 @@
 #[test]
 fn the_forwarded_deadline_is_computed_when_the_attempt_is_written() {
     for class in ["look", "once"] {
-        let (backlog, (counter, answered)) = (FullBacklog::new(), notifying_counter());
-        let server = StandIn { address: backlog.address, requests: std::sync::mpsc::channel().1 };
+        let (listener, (counter, answered)) = (FullAcceptQueue::new(), notifying_counter());
+        let server = listener.listed();
         let mut setup = LimiterSetup::new(&[&server], &counter);
         setup.extra_permissions = r#","dial-timeout":15000000"#.to_owned();
         let limiter = setup.start();
@@ -102,7 +102,7 @@
         // This sleep is the time that the connection takes to open; it orders no events.
         std::thread::sleep(Duration::from_millis(700));
         let waited = written.elapsed().as_millis() as u64;
-        let (server, _accepted) = backlog.start_accepting();
+        let (server, _accepted) = listener.start_accepting();
         assert_eq!(client.read_response().expect("a response").status(), 200);
         let (_, sent) = server.requests.recv_timeout(TIMEOUT).expect("a request");
         let left: u64 = sent.header("req-deadline-ms").and_then(|t| t.parse().ok()).expect("a deadline");
@@ -113,13 +113,11 @@
 #[test]
 fn nothing_is_sent_to_a_server_drained_while_its_connection_was_opening() {
     let (server_0, server_1, (counter, answered)) =
-        (FullBacklog::new(), FullBacklog::new(), notifying_counter());
+        (FullAcceptQueue::new(), FullAcceptQueue::new(), notifying_counter());
     let all =
         [server_row("s-0", server_0.address, "SERVING"), server_row("s-1", server_1.address, "SERVING")];
     let (discovery, updates) = discovery_stand_in(server_list(1, true, &all));
-    let server_at = |address| StandIn { address, requests: std::sync::mpsc::channel().1 };
-    let mut setup =
-        LimiterSetup::new(&[&server_at(server_0.address), &server_at(server_1.address)], &counter);
+    let mut setup = LimiterSetup::new(&[&server_0.listed(), &server_1.listed()], &counter);
     setup.extra_permissions = r#","dial-timeout":15000000"#.to_owned();
     setup.discovery = Some(discovery.address);
     let limiter = setup.start();
@@ -158,9 +156,8 @@
 fn a_keyed_retry_is_not_sent_once_servers_may_have_forgotten_its_key() {
     let fails = |_: usize, _: &Message, stream: &mut TcpStream| write_response(stream, "500 Broken", "");
     let (server_0, server_1, (counter, _answered)) =
-        (stand_in(fails), FullBacklog::new(), notifying_counter());
-    let listed_1 = StandIn { address: server_1.address, requests: std::sync::mpsc::channel().1 };
-    let mut setup = LimiterSetup::new(&[&server_0, &listed_1], &counter);
+        (stand_in(fails), FullAcceptQueue::new(), notifying_counter());
+    let mut setup = LimiterSetup::new(&[&server_0, &server_1.listed()], &counter);
     // The server with the larger share is chosen first.
     let small = server_row("s-1", server_1.address, "SERVING").replace("\"share\":1.0", "\"share\":0.1");
     setup.known = KnownServers::Rows(vec![server_row("s-0", server_0.address, "SERVING"), small]);
@@ -253,14 +250,16 @@
             [server_row("s-0", server_0.address, "SERVING"), server_row("s-1", server_1.address, "SERVING")];
         let full_list = server_list(1, true, &all);
         let change = server_list(2, false, &[server_row("s-0", server_0.address, "DRAINING")]);
-        // The first watch with a full wait is never answered; after it, every call gets the change at once.
-        let silent = std::sync::atomic::AtomicBool::new(false);
+        // Neither the first watch nor any from version 2 is answered; every other call after the first watch gets the
+        // change at once.
+        let watch_seen = std::sync::atomic::AtomicBool::new(false);
         let discovery = stand_in(move |_, message, stream| {
-            let waits = message.start_line.contains("hold_ms=3000 ");
-            if waits && (message.start_line.contains("from=2") || !silent.swap(true, Ordering::SeqCst)) {
+            let is_watch = message.start_line.contains("hold_ms=3000 ");
+            if is_watch && (message.start_line.contains("from=2") || !watch_seen.swap(true, Ordering::SeqCst))
+            {
                 std::thread::park();
             }
-            let changed = silent.load(Ordering::SeqCst);
+            let changed = watch_seen.load(Ordering::SeqCst);
             write_response(stream, "200 OK", if changed { &change } else { &full_list });
         });
         let mut setup = LimiterSetup::new(&[&server_0, &server_1], &counter);
@@ -277,7 +276,7 @@
         let unanswered = wait_for_call("hold_ms=3000 ");
         let replaced = wait_for_call("hold_ms=1 ");
         let took = replaced - unanswered;
-        // After 6 s the limiter counts as notified of a change, even if the response to its call was lost.
+        // After 6 s the limiter counts as informed of a change, even if the response to its call was lost.
         assert!(took < Duration::from_secs(6), "{mode}: replaced after {took:?}");
         wait_for_call("from=2");
         for n in 0..6 {
--- a/limeway/tests/crowds.rs
+++ b/limeway/tests/crowds.rs
@@ -18,20 +18,19 @@
     (0..count).map(|_| TcpStream::connect(limiter.address).expect("a connection")).collect()
 }
 
-/// Sends requests until one is served by the named server, and returns how many were not.
-fn wait_until_served_by(limiter: &Limiter, wanted: &str) -> usize {
+/// Sends requests until one is served by the named server.
+fn wait_until_served_by(limiter: &Limiter, wanted: &str) {
     let end = Instant::now() + TIMEOUT;
     for n in 0.. {
         let mut client = limiter.client();
         client.write(&request("look", &format!("asks-{wanted}-{n}"), "team", 9000));
-        // The limiter may evict a connection before it reads the request; a retry is served.
+        // The limiter may evict a connection before it reads the request; a further request is served.
         let response = client.read_response();
         if response.as_ref().is_some_and(|a| a.status() == 200 && a.body == wanted) {
-            return n;
+            return;
         }
         assert!(Instant::now() < end, "not served by {wanted}: {response:?}");
     }
-    unreachable!("the loop ends by return or panic")
 }
 
 /// Guards against a limiter that cannot open its own connections because clients hold all the descriptors.
--- a/limeway/tests/departures.rs
+++ b/limeway/tests/departures.rs
@@ -87,8 +87,8 @@
     }
 }
 
-/// Guards against closing the connection of a received request without a response: when a client ends its sending,
-/// the limiter cannot tell whether it has gone or still reads.
+/// Guards against closing the connection of a received request without a response: when a client half-closes its
+/// connection, the limiter cannot tell whether it has gone or still reads.
 #[test]
 fn a_half_closed_client_gets_a_final_response() {
     let unresponsive = || stand_in(|_, _, _| std::thread::park());
@@ -156,16 +156,15 @@
 #[test]
 fn a_request_whose_client_disconnected_just_after_its_server_connection_opened_is_not_forwarded() {
     for how in [Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset] {
-        let (backlog, (counter, _answered)) = (FullBacklog::new(), notifying_counter());
-        let listed = StandIn { address: backlog.address, requests: channel().1 };
-        let mut setup = LimiterSetup::new(&[&listed], &counter);
+        let (listener, (counter, _answered)) = (FullAcceptQueue::new(), notifying_counter());
+        let mut setup = LimiterSetup::new(&[&listener.listed()], &counter);
         setup.extra_permissions = r#","dial-timeout":15000000"#.to_owned();
         let mut limiter = setup.start();
         let mut client = limiter.client();
         client.write(&request("look", "left", "team", 20_000));
-        backlog.wait_for_pending_connect();
+        listener.wait_for_pending_connect();
         limiter.pause();
-        let (server, accepted) = backlog.start_accepting();
+        let (server, accepted) = listener.start_accepting();
         accepted.recv_timeout(TIMEOUT).expect("the connection for the attempt");
         disconnect(&client, how);
         drop(client);
--- a/limeway/tests/lists.rs
+++ b/limeway/tests/lists.rs
@@ -81,17 +81,17 @@
         let (discovery, updates) = discovery_stand_in(full_list);
         setup.discovery = Some(discovery.address);
         let limiter = setup.start();
-        let last = format!("spread={size},first={}", size - 1);
-        let request_to_all =
-            |id: &str| request("book", id, "team", 20_000).replace("spread=2,first=0", &last);
-        assert_eq!(limiter.client().exchange(&request_to_all("first")).status(), 200, "{size}");
+        let all_gateways = format!("spread={size},first={}", size - 1);
+        let request_shared_by_all =
+            |id: &str| request("book", id, "team", 20_000).replace("spread=2,first=0", &all_gateways);
+        assert_eq!(limiter.client().exchange(&request_shared_by_all("first")).status(), 200, "{size}");
         // All but the last server drain: the next request shows that the last one is known, too.
         let drained: Vec<String> =
             rows[..rows.len() - 1].iter().map(|row| row.replace("SERVING", "DRAINING")).collect();
         updates.send(server_list(2, false, &drained)).expect("discovery stand-in is running");
         // Waits for the watch that shows that version 2 is applied.
         while !discovery.requests.recv_timeout(TIMEOUT).expect("a watch").1.start_line.contains("from=2&") {}
-        assert_eq!(limiter.client().exchange(&request_to_all("second")).status(), 200, "{size}");
+        assert_eq!(limiter.client().exchange(&request_shared_by_all("second")).status(), 200, "{size}");
         assert_eq!(
             server_1.requests.try_iter().filter(|r| r.1.header("req-id") == Some("second")).count(),
             1
--- a/limeway/tests/protocol_forms.rs
+++ b/limeway/tests/protocol_forms.rs
@@ -130,12 +130,14 @@
     setup.discovery = Some(discoveries[0].0.address);
     let mut limiter = setup.start();
     let first_config = limiter.config.clone();
-    let to = |number: usize| {
+    let config_for = |number: usize| {
         first_config
             .replace(&discoveries[0].0.address.to_string(), &discoveries[number].0.address.to_string())
     };
     // Several signals may be delivered as one; the contents of the file at the last signal apply.
-    for config in [to(1), String::new(), to(2), to(1), "{\"listen\":".to_owned(), to(2)] {
+    for config in
+        [config_for(1), String::new(), config_for(2), config_for(1), "{\"listen\":".to_owned(), config_for(2)]
+    {
         limiter.reload(&config);
     }
     // The next watch at that address shows that its list has been applied.
--- a/limeway/tests/service.rs
+++ b/limeway/tests/service.rs
@@ -150,11 +150,12 @@
     assert_eq!(limiter.client().exchange(&request("look", "1", "team", 9000)).status(), 200);
 }
 
-/// Limiters exchange units that they have leased for small quotas: one that asks another for some gets a response.
+/// Limiters exchange units that they have leased for small quotas: one that asks another for some gets a grant.
 #[test]
 fn a_datagram_from_a_peer_is_answered() {
     let (server, counter) = (stand_in(serve_hi), counter_stand_in());
     let limiter = LimiterSetup::new(&[&server], &counter).start();
+    // An `Ask` message: its kind, the customer, the units, the index of the plan and the number of gateways.
     let mut datagram = vec![0];
     datagram.extend(7_u64.to_le_bytes());
     datagram.extend(1_f32.to_le_bytes());
@@ -163,6 +164,7 @@
     limiter.peer_socket.send_to(&datagram, limiter.peer_listen).expect("datagram is sent");
     let mut response = [0; 300];
     let (len, _) = limiter.peer_socket.recv_from(&mut response).expect("a response");
+    // A `Grant` message has kind 1 and names the customer.
     assert_eq!((len, response[0], &response[1..9]), (13, 1, &7_u64.to_le_bytes()[..]));
 }
 
@@ -407,8 +409,8 @@
     }
 }
 
-/// Guards against an invalid request that gets no error response because it had arrived whole, and its client had
-/// ended its sending, before the connection was accepted.
+/// Guards against an invalid request that gets no error response because it arrived whole, and its client half-closed
+/// the connection, before the limiter accepted the connection.
 #[test]
 fn a_message_received_whole_before_accept_gets_its_response() {
     let (server, counter) = (stand_in(serve_hi), counter_stand_in());
@@ -482,7 +484,7 @@
 }
 
 /// Guards against tables that grow with every new host name: 200 servers come and go at one address, and their
-/// numbers are reused. Requests still go only to listed servers.
+/// ids are reused. Requests still go only to listed servers.
 #[test]
 fn servers_that_keep_changing_their_host_name_are_followed() {
     let (replaced, stays, counter) = (stand_in(serve_hi), stand_in(serve_hi), counter_stand_in());
--- a/limeway/tests/telling.rs
+++ b/limeway/tests/telling.rs
@@ -7,10 +7,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The limiter counts as notified of a change this long after discovery had it and could be reached.
-const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
+/// The limiter counts as informed of a change this long after discovery had it and could be reached.
+const INFORMED_AFTER: Duration = Duration::from_secs(6);
 
-/// When discovery becomes faulty for the limiter: at its start, while a watch waits, or with a reload that makes it
+/// When discovery becomes faulty for the limiter: at its start, while a watch is held, or with a reload that makes it
 /// use another, faulty discovery.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Stage {
@@ -120,7 +120,7 @@
         for (ask, mode, stage, took) in runs {
             let took = took.expect("thread does not panic");
             let case = format!("ask mode {ask}, {mode:?} for {length} ms from {stage:?} on");
-            assert!(took.as_ref().is_ok_and(|took| *took < NOTIFIED_AFTER), "{case}: {took:?}");
+            assert!(took.as_ref().is_ok_and(|took| *took < INFORMED_AFTER), "{case}: {took:?}");
         }
     }
 }
