--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -72,6 +72,17 @@
     }
 }
 
+/// Rules of a site whose cold servers warm up slowly.
+pub fn slow_start_rules() -> ServerRules {
+    ServerRules {
+        slow_start_duration: 17 * S,
+        initial_capacity: 0.28,
+        overload_duration: 2 * S,
+        overload_factor: 3.0,
+        max_watch_interval: 0,
+    }
+}
+
 /// The list entry of a server in service. Servers alternate between two zones.
 pub fn server_entry(server: ServerId) -> ServerEntry {
     ServerEntry { server, zone: server % 2, cell: 0, lifecycle: Lifecycle::Ready, weight: 1.0, started_at: 0 }
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -81,7 +81,7 @@
     // Half of the servers are new. Over all gateways, each of these should get at least 0.42 of what a warm one gets.
     let (mut to_warm, mut to_cold) = (0, 0);
     for seed in 0..60 {
-        let set = Settings { gateways: 60, server_rules: rules(), ..settings() };
+        let set = Settings { gateways: 60, server_rules: slow_start_rules(), ..settings() };
         let mut host = Host::with_seed(set, 20, seed * 131 + 7);
         host.responsive_servers = (0..20).collect();
         for id in 0..40 {
@@ -103,21 +103,12 @@
     assert!(share < 1.0, "{to_cold} to ten cold servers, {to_warm} to ten warm ones");
 }
 
-fn rules() -> ServerRules {
-    ServerRules {
-        slow_start_duration: 17 * S,
-        initial_capacity: 0.28,
-        overload_duration: 2 * S,
-        overload_factor: 3.0,
-        max_watch_interval: 0,
-    }
-}
-
 #[test]
 fn a_server_that_started_long_before_it_was_listed_is_warm() {
     // Ten servers replace those of the first list; returns how many of five requests are sent to them at once.
     let sent_to_servers_of_age = |age: Micros| {
-        let mut host = Host::new(Settings { server_rules: rules(), gateways: 1, ..settings() }, 10);
+        let mut host =
+            Host::new(Settings { server_rules: slow_start_rules(), gateways: 1, ..settings() }, 10);
         let started_at = host.now - age;
         let entries = (10..20).map(|n| ServerEntry { started_at, ..server_entry(n) }).collect();
         host.deliver_list(ListKind::Full, entries);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -31,25 +31,15 @@
 const SERVERS: usize = 20;
 const STEP: Micros = 20 * MS;
 
-fn rules() -> ServerRules {
-    ServerRules {
-        slow_start_duration: 17 * S,
-        initial_capacity: 0.28,
-        overload_duration: 2 * S,
-        overload_factor: 3.0,
-        max_watch_interval: 0,
-    }
-}
-
 /// Capacity of a server of this age, as a share of its capacity when warm.
 fn warmth(age: Micros) -> f64 {
-    let share = (age as f64 / rules().slow_start_duration as f64).min(1.0);
-    rules().initial_capacity + (1.0 - rules().initial_capacity) * share
+    let share = (age as f64 / slow_start_rules().slow_start_duration as f64).min(1.0);
+    slow_start_rules().initial_capacity + (1.0 - slow_start_rules().initial_capacity) * share
 }
 
 /// Requests within the overload duration that overload a cold server of this age.
 fn overload_limit(scenario: &Scenario, age: Micros) -> f64 {
-    let rules = rules();
+    let rules = slow_start_rules();
     rules.overload_factor * warmth(age) * scenario.capacity * rules.overload_duration as f64 / S as f64
 }
 
@@ -82,7 +72,7 @@
 }
 
 fn simulate(scenario: Scenario) -> Measured {
-    let set = Settings { gateways: scenario.gateways, server_rules: rules(), ..settings() };
+    let set = Settings { gateways: scenario.gateways, server_rules: slow_start_rules(), ..settings() };
     let new_host = |n: u64, now: Micros, list: Vec<ServerEntry>| {
         let seed = scenario.seed.wrapping_add(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut host = Host::with_seed(set.clone(), 0, seed);
@@ -112,7 +102,7 @@
         (0..hosts.len()).map(|n| scenario.skew.powf(1.0 - 2.0 * n as f64 / hosts.len() as f64)).collect();
     let sum: f64 = shares.iter().sum();
     shares.iter_mut().for_each(|share| *share /= sum);
-    let (before_start, slow_start) = (6 * S, rules().slow_start_duration);
+    let (before_start, slow_start) = (6 * S, slow_start_rules().slow_start_duration);
     let start = begin + before_start;
     let (mut last_id, mut hosts_made, mut now) = (0u64, hosts.len() as u64, begin);
     let mut seen = vec![0; hosts.len()];
@@ -202,7 +192,7 @@
         let sends: Vec<Micros> =
             times.iter().copied().filter(|at| *at >= start + scenario.list_delay + STEP).collect();
         for (first, at) in sends.iter().enumerate() {
-            let window_end = at + rules().overload_duration;
+            let window_end = at + slow_start_rules().overload_duration;
             let count = sends[first..].iter().take_while(|t| **t < window_end).count() as f64;
             let n = overload_limit(&scenario, at - start);
             overload = overload.max(count / (n + 2.0 * n.sqrt() + 2.0));
